--- a/crates/rollout/src/file.rs
+++ b/crates/rollout/src/file.rs
@@ -44,7 +44,7 @@
             read.map(|c| c.loaded).map_err(|e| anyhow::anyhow!("'fronts.{i}.{key}': {e}"))
         };
         let (before, after) = (told("settings", old)?, told("new_settings", new)?);
-        for key in before.differs(&after) {
+        for key in before.changed_keys(&after) {
             let how = mixing(&key);
             changed.insert(key, how);
         }
--- a/src/config/sections.rs
+++ b/src/config/sections.rs
@@ -63,8 +63,8 @@
         return Err(base.wrong("a scheme and an authority without a path"));
     }
     let leeway = or("leeway_s", 0.0)?;
-    let overlap = or("overlap_s", 300.0)?;
-    if leeway < 0.0 || overlap < 0.0 {
+    let key_overlap = or("overlap_s", 300.0)?;
+    if leeway < 0.0 || key_overlap < 0.0 {
         return Err(at.wrong("a table whose times are 0 or more"));
     }
     Ok(Signed {
@@ -73,8 +73,8 @@
         audience: at.opt("audience").map(|v| v.text().map(str::to_owned)).transpose()?,
         leeway,
         keys: at.get("keys")?.text()?.into(),
-        reread: at.opt("reread_s").map_or(Ok(5.0), |v| v.above_zero())?,
-        overlap,
+        keys_refresh: at.opt("reread_s").map_or(Ok(5.0), |v| v.above_zero())?,
+        key_overlap,
     })
 }
 
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -2,7 +2,7 @@
 //! and ends. It decides nothing: health and the figures are read where they are published, and cordons go to the
 //! broker by queue, which answers once they are in force.
 
-use crate::broker::{Figures, Operator};
+use crate::broker::{Metrics, OperatorRequest};
 use crate::interface::NodeId;
 use crate::membership::{OperatorOverride, node_id};
 use crate::spread::HOMES;
@@ -88,9 +88,9 @@
     /// Whether this process takes clients.
     pub ready: Rc<Cell<bool>>,
     /// The figures.
-    pub figures: Rc<Figures>,
+    pub metrics: Rc<Metrics>,
     /// To the broker.
-    pub operators: UnboundedSender<Operator>,
+    pub operators: UnboundedSender<OperatorRequest>,
     /// The file of the cordons.
     pub store: StateWorker,
     /// The digest of the settings in force.
@@ -133,8 +133,8 @@
         let hand = match call {
             Call::Health if self.ready.get() => return "ok yes\n".into(),
             Call::Health => return "fail no: this process takes no clients now\n".into(),
-            Call::Counters => return format!("ok\n{}eof\n", self.figures.render()),
-            Call::Slow => return format!("ok\n{}eof\n", self.figures.render_slow()),
+            Call::Counters => return format!("ok\n{}eof\n", self.metrics.render()),
+            Call::Slow => return format!("ok\n{}eof\n", self.metrics.render_slow()),
             Call::Version => return self.version().await,
             Call::Cordon(node) => OperatorOverride::Cordon(node),
             Call::Uncordon(node) => OperatorOverride::Uncordon(node),
@@ -144,13 +144,13 @@
         let _ = timeout_at(clock::instant(clock::now() + LOOK_PATIENCE), look).await;
         let (reply, answer) = oneshot::channel();
         // A call that the core can no longer take is dropped with its reply, which then says so.
-        let _ = self.operators.send(Operator::Call { hand, reply });
+        let _ = self.operators.send(OperatorRequest::Override { action: hand, reply });
         let (said, kept, number) = match answer.await {
             Ok(Ok(done)) => done,
             Ok(Err(why)) => return format!("fail {why}\n"),
             // The core has ended, and this process sends nothing more: the call is for the one that follows it.
             Err(_) => {
-                return match self.store.amend(hand, clock::now()).await {
+                return match self.store.apply_override(hand, clock::now()).await {
                     Ok(()) => format!(
                         "ok kept for the process that follows: {}\n",
                         line.trim_ascii().escape_ascii()
@@ -159,7 +159,7 @@
                 };
             }
         };
-        if let Err(e) = self.store.keep(number, kept).await {
+        if let Err(e) = self.store.write(number, kept).await {
             log!("cordons: cannot be kept: {e}");
             return format!("fail {said} in this process, but not kept for the next: {e}\n");
         }
@@ -182,8 +182,8 @@
 
     /// Hands the broker what the file says, if another process changed it.
     async fn look(self: Rc<Self>) {
-        if let Some(kept) = self.store.look().await {
-            let _ = self.operators.send(Operator::Kept(kept));
+        if let Some(kept) = self.store.read_if_changed().await {
+            let _ = self.operators.send(OperatorRequest::Restore(kept));
         }
     }
 
--- a/src/net/clients.rs
+++ b/src/net/clients.rs
@@ -9,7 +9,7 @@
 pub(super) use session::Session;
 
 use super::ListenerState;
-use crate::broker::{ClientRequest, Contracts, Figures, Input};
+use crate::broker::{ClientRequest, Contracts, Input, Metrics};
 use crate::config::Classes;
 use crate::memory::{Ledger, Refused};
 use connection::ClientConnection;
@@ -37,13 +37,13 @@
     /// What a refusal of this front's own says (seconds).
     pub wait: f64,
     /// What operators read: the answers that this front gives of its own are counted here.
-    pub figures: Rc<Figures>,
+    pub metrics: Rc<Metrics>,
 }
 
 impl Front {
     /// Takes memory for a request and for its body, which it has from then on.
     fn hold(&self, mut ask: ClientRequest, body: &[u8]) -> Result<ClientRequest, Refused> {
-        ask.hold(&self.memory, self.classes.uncacheable(ask.class), body.len())?;
+        ask.reserve_memory(&self.memory, self.classes.uncacheable(ask.class), body.len())?;
         ask.body = body.to_vec();
         Ok(ask)
     }
--- a/src/net/clients/request.rs
+++ b/src/net/clients/request.rs
@@ -59,7 +59,7 @@
         match name {
             b"call" => ask.call = hex(value)?,
             b"ttl" => ttl = Some(amount(value).filter(|t| (1.0..=TTL_MOST).contains(t))?),
-            b"rep" => ask.repeat = number(value).filter(|&r| r < 2)? == 1,
+            b"rep" => ask.is_retry = number(value).filter(|&r| r < 2)? == 1,
             b"dedupe" => ask.key = Some(token(value, 128)?),
             b"row" => {
                 ask.asset = hex(value)?;
@@ -67,13 +67,13 @@
             }
             b"slice" => ask.part = number(value).filter(|&p| p < PARTS)? as u32,
             b"set" => ask.group = GroupId(number(value).filter(|&g| g < GROUPS)? as u32),
-            b"heap" => ask.kb = amount(value).filter(|&kb| kb <= KB_MOST)?,
-            b"org" => ask.team = contracts.named(value),
-            b"seen" => ask.have = Some(token(value, 128)?),
+            b"heap" => ask.size_kb = amount(value).filter(|&kb| kb <= KB_MOST)?,
+            b"org" => ask.team = contracts.find(value),
+            b"seen" => ask.client_etag = Some(token(value, 128)?),
             _ => {}
         }
     }
-    let (longest, keyed) = classes.asks(class);
+    let (longest, keyed) = classes.client_rules(class);
     let waits = (ttl? / 1000.0).min(longest);
     ask.deadline = now + waits - (waits * MARGIN_SHARE).clamp(MARGIN_LEAST, MARGIN_MOST);
     let whole = !ask.call.is_empty() && !ask.asset.is_empty() && (!keyed || ask.key.is_some());
--- a/src/net/clients/session.rs
+++ b/src/net/clients/session.rs
@@ -120,24 +120,24 @@
                     None => {
                         say(tag, "fault");
                         if let Some(class) = class {
-                            front.figures.count(class, Count::Failure);
+                            front.metrics.count(class, Count::Failure);
                         }
                         (cost, usable) = (unusable, false);
                         None
                     }
                     Some(None) => {
-                        front.figures.count(class.unwrap_or_default(), Count::Busy);
+                        front.metrics.count(class.unwrap_or_default(), Count::Busy);
                         self.refuse(tag, self.front.wait);
                         cost = refused;
                         None
                     }
                     Some(Some(mut ask)) => {
-                        let gone = ask.gone.clone();
+                        let gone = ask.cancelled.clone();
                         self.open.insert(tag, Taken { due: ask.deadline, class: ask.class, gone });
-                        ask.reader = Some(self.output.reader());
-                        Some(Input::Ask {
+                        ask.unread_bytes = Some(self.output.reader());
+                        Some(Input::Request {
                             caller: self.caller(tag),
-                            ask: ask.into(),
+                            request: ask.into(),
                             reply: self.reply.clone(),
                         })
                     }
@@ -164,7 +164,7 @@
         }
         input.skip(total);
         if let Some(class) = class {
-            front.figures.count(class, Count::Busy);
+            front.metrics.count(class, Count::Busy);
         }
         self.refuse(tag, self.front.wait);
         self.credit.0 -= COSTS[1];
@@ -183,7 +183,7 @@
     /// [`Session::cancel_open`].
     pub(in crate::net) fn fail_open(&mut self, tag: Option<u64>) {
         for (&tag, taken) in &self.open {
-            self.front.figures.count(taken.class, Count::Failure);
+            self.front.metrics.count(taken.class, Count::Failure);
             resp::answer(&mut self.output, tag, "fault", "", None);
         }
         if let Some(tag) = tag.filter(|tag| !self.open.contains_key(tag)) {
@@ -195,14 +195,14 @@
         // After an abort none is owed, and one that crossed it is dropped.
         let Some(Taken { due, .. }) = self.open.remove(&tag) else { return };
         match answer {
-            Answer::Served(content) if content.current => {
+            Answer::Served(content) if content.not_modified => {
                 resp::answer(&mut self.output, tag, "ok", "current=1", None);
             }
             Answer::Served(content) => {
                 resp::answer(&mut self.output, tag, "ok", "", Some((content.body, content.grant, due)));
             }
             Answer::Refused(wait) | Answer::OverBudget(wait) => self.refuse(tag, wait),
-            Answer::Failed | Answer::Late | Answer::Forbidden => {
+            Answer::Failed | Answer::DeadlineExceeded | Answer::Forbidden => {
                 resp::answer(&mut self.output, tag, "fault", "", None);
             }
         }
--- a/src/net/coordinator.rs
+++ b/src/net/coordinator.rs
@@ -3,7 +3,7 @@
 
 use super::frames::{self, Frame};
 use super::{Buffer, Live, Unreadable};
-use crate::broker::News;
+use crate::broker::DiscoveryUpdate;
 use crate::memory::{AccountOwner, Ledger, Purpose};
 use crate::{clock, log};
 use std::net::SocketAddr;
@@ -55,7 +55,7 @@
 #[derive(Debug, PartialEq)]
 pub enum Step {
     /// Hand it on.
-    Take(News),
+    Take(DiscoveryUpdate),
     /// It was had before, or holds nothing.
     Skip,
     /// Something before it is missing: ask again from the last number.
@@ -106,7 +106,7 @@
     address: Rc<Live<SocketAddr>>,
     last: u64,
     seed: u64,
-    news: UnboundedSender<News>,
+    news: UnboundedSender<DiscoveryUpdate>,
     memory: Ledger,
 ) {
     let mut feed = Feed::new(last);
@@ -173,7 +173,7 @@
 async fn session(
     address: SocketAddr,
     feed: &mut Feed,
-    news: &UnboundedSender<News>,
+    news: &UnboundedSender<DiscoveryUpdate>,
     memory: &Ledger,
 ) -> std::io::Result<&'static str> {
     let mut stream = connect(address).await?;
--- a/src/net/exchange/cancellation.rs
+++ b/src/net/exchange/cancellation.rs
@@ -1,13 +1,13 @@
 //! Attempts that are cancelled: in flight until their cancel is sent.
 
-use crate::broker::Ticket;
+use crate::broker::AttemptId;
 use crate::net::{Buffer, lines};
 use std::collections::VecDeque;
 
 /// An attempt that was cancelled, and when.
 #[derive(Clone, Copy)]
 pub(super) struct CancelledAttempt {
-    pub(super) ticket: Ticket,
+    pub(super) attempt_id: AttemptId,
     pub(super) since: f64,
 }
 
--- a/src/net/exchange/receive.rs
+++ b/src/net/exchange/receive.rs
@@ -3,7 +3,7 @@
 use super::in_flight::InFlightRequest;
 use super::incoming::{Admission, AnswerLayout};
 use super::{Exchange, Progress};
-use crate::broker::{Content, Report, Ticket};
+use crate::broker::{AttemptId, Content, Report};
 use crate::interface::Outcome;
 use crate::memory::Grant;
 use crate::net::{Buffer, Unreadable, lines};
@@ -73,7 +73,8 @@
         let is_served = outcome == Outcome::Ok;
         let content = is_served.then(|| content_of(&head.answer, layout.body(buffer.bytes()), grant));
         let (note, source_wait) = (head.answer.note, head.answer.source_wait);
-        let ended = Report::Ended { ticket: request.ticket, outcome, note, source_wait, content };
+        let ended =
+            Report::AttemptEnded { attempt_id: request.attempt_id, outcome, note, source_wait, content };
         self.in_flight.take_answered(head.answer.id);
         match buffered {
             true => buffer.consume(layout.total),
@@ -84,9 +85,9 @@
     }
 
     /// The attempt whose answer is at the head of the buffer, if anybody waits for it.
-    pub fn ticket_at_head(&self, buffer: &Buffer) -> Option<Ticket> {
+    pub fn ticket_at_head(&self, buffer: &Buffer) -> Option<AttemptId> {
         let head = lines::head(buffer.bytes()).ok().flatten()?;
-        self.in_flight.get(head.answer.id).map(|request| request.ticket)
+        self.in_flight.get(head.answer.id).map(|request| request.attempt_id)
     }
 
     /// There was no memory for the answer at the head of the buffer, for too long: it is discarded, and its
@@ -94,7 +95,7 @@
     pub fn discard_answer(&mut self, buffer: &mut Buffer, report: &mut impl FnMut(Report)) {
         let Ok(Some(head)) = lines::head(buffer.bytes()) else { return };
         if let Some(request) = self.in_flight.take_answered(head.answer.id) {
-            report(Report::NoMemory(request.ticket));
+            report(Report::NoMemory(request.attempt_id));
         }
         let layout = AnswerLayout::of(&head);
         self.incoming.discard(buffer, layout);
@@ -134,5 +135,5 @@
 
 /// The content of an answer, held by this grant.
 fn content_of(answer: &lines::Answer<'_>, body: &[u8], grant: Grant) -> Content {
-    Content { body: body.to_vec(), etag: answer.etag.into(), current: answer.valid, grant }
+    Content { body: body.to_vec(), etag: answer.etag.into(), not_modified: answer.valid, grant }
 }
--- a/src/net/frames.rs
+++ b/src/net/frames.rs
@@ -1,7 +1,7 @@
 //! The coordinator's frames, and the same events as JSON. Parsing only.
 
 use super::Unreadable;
-use crate::broker::{Member, News};
+use crate::broker::{DiscoveryUpdate, Member};
 use crate::interface::*;
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -16,7 +16,7 @@
     /// Nothing new; the number says how far the coordinator is.
     Idle,
     /// An event.
-    News(News),
+    News(DiscoveryUpdate),
 }
 
 fn be(bytes: &[u8]) -> u64 {
@@ -42,17 +42,17 @@
         1 | 2 => {
             whole(payload.len() / RECORD * RECORD)?;
             let members = payload.chunks_exact(RECORD).map(record).collect::<Result<_, _>>()?;
-            Frame::News(News::Roster { full: kind == 1, members })
+            Frame::News(DiscoveryUpdate::NodeList { full: kind == 1, members })
         }
         3 => {
             whole(16)?;
             let (object, at) = (ObjectId(be(&payload[..8])), seconds(&payload[8..]));
-            Frame::News(News::Purge { object: Some(object), group: GroupId(0), at })
+            Frame::News(DiscoveryUpdate::Purge { object: Some(object), group: GroupId(0), at })
         }
         4 => {
             whole(10)?;
             let (group, at) = (GroupId(be(&payload[..2]) as u32), seconds(&payload[2..]));
-            Frame::News(News::Purge { object: None, group, at })
+            Frame::News(DiscoveryUpdate::Purge { object: None, group, at })
         }
         _ => return Err(Unreadable("a frame of an unknown kind")),
     };
--- a/src/net/lines.rs
+++ b/src/net/lines.rs
@@ -36,7 +36,7 @@
 #[must_use]
 pub fn serve(out: &mut Buffer, order: &Order, patience_ms: u64) -> bool {
     use std::fmt::Write;
-    let ask = &order.ask;
+    let ask = &order.request;
     let mut line = String::with_capacity(160);
     let _ = write!(line, "serve {} sort={},asset={},slice={}", ask.call, order.class, ask.asset, ask.part);
     let _ = write!(line, ",patience={patience_ms}");
@@ -65,7 +65,7 @@
         let _ = write!(line, "{mark}{word}");
         mark = "+";
     }
-    if let Some(have) = &ask.have {
+    if let Some(have) = &ask.client_etag {
         let _ = write!(line, ",have={have}");
     }
     let _ = write!(line, " {}\r\n", ask.body.len());
--- a/src/net/model/feed.rs
+++ b/src/net/model/feed.rs
@@ -1,7 +1,7 @@
 //! The coordinator's feed.
 
 use super::check;
-use crate::broker::News;
+use crate::broker::DiscoveryUpdate;
 use crate::interface::GroupId;
 use crate::net::coordinator;
 use crate::net::frames::Frame;
@@ -12,7 +12,7 @@
 /// each event is handed on once and in order, and only what the coordinator has forgotten is passed over.
 #[test]
 fn the_feed_hands_on_each_event_once() {
-    let news = || News::Purge { object: None, group: GroupId(0), at: 0.0 };
+    let news = || DiscoveryUpdate::Purge { object: None, group: GroupId(0), at: 0.0 };
     check(400, vec((0u8..4, 1u64..6), 1..80), |steps| {
         let (mut feed, mut sent) = (coordinator::Feed::new(0), 0u64);
         let mut taken = Vec::new();
--- a/src/net/model/parsers.rs
+++ b/src/net/model/parsers.rs
@@ -1,7 +1,7 @@
 //! The parsers and the byte forms of the three protocols.
 
 use super::{check, order};
-use crate::broker::{ClientRequest, News};
+use crate::broker::{ClientRequest, DiscoveryUpdate};
 use crate::interface::*;
 use crate::net::frames::{self, Frame};
 use crate::net::{Buffer, lines, resp};
@@ -16,14 +16,15 @@
     assert!(lines::serve(&mut out, &o, 1200));
     let line = "serve 0000000000000007 sort=media,asset=00000000000000aa,slice=0,patience=1200,\
         src=s-00000002,keep=1,maxage=250,flags=revalidate 0\r\n\r\n";
-    assert_eq!(o.ask.have, None, "an odd call");
+    assert_eq!(o.request.client_etag, None, "an odd call");
     assert_eq!(std::str::from_utf8(out.bytes()), Ok(line));
     out.consume(line.len());
     o.options = FillOptions { join: true, only_if_cached: true, ..FillOptions::default() };
     (o.source, o.rank, o.age, o.class) = (None, 0, 0.0, "holds".into());
     let (body, key, have) = (b"a\r\nb".to_vec(), Some("k1".into()), Some("e1".into()));
-    let (call, asset) = (o.ask.call.clone(), o.ask.asset.clone());
-    o.ask = ClientRequest { body, key, have, call, asset, ..ClientRequest::default() }.into();
+    let (call, asset) = (o.request.call.clone(), o.request.asset.clone());
+    o.request =
+        ClientRequest { body, key, client_etag: have, call, asset, ..ClientRequest::default() }.into();
     assert!(lines::serve(&mut out, &o, 5));
     let line = "serve 0000000000000007 sort=holds,asset=00000000000000aa,slice=0,patience=5,op=k1,\
         flags=merge+local,have=e1 4\r\na\r\nb\r\n";
@@ -87,7 +88,7 @@
     bytes.extend(1_764_576_000_123u64.to_be_bytes());
     let (number, frame, used) = frames::parse(&bytes).unwrap().unwrap();
     assert_eq!((number, used), (9, bytes.len()));
-    let Frame::News(News::Roster { full: false, members }) = frame else { panic!("{frame:?}") };
+    let Frame::News(DiscoveryUpdate::NodeList { full: false, members }) = frame else { panic!("{frame:?}") };
     let (n, address) = (members[0].node, members[0].address);
     assert_eq!(address, "10.1.0.9:4100".parse().unwrap());
     assert_eq!(
@@ -96,6 +97,6 @@
     );
     assert_eq!((n.weight, n.ready_at), (4.5, 1_764_576_000.123));
     let purge = [&[0, 0, 0, 19, 0, 0, 0, 0, 0, 0, 0, 10, 4, 0, 17][..], &1500u64.to_be_bytes()].concat();
-    let wanted = News::Purge { object: None, group: GroupId(17), at: 1.5 };
+    let wanted = DiscoveryUpdate::Purge { object: None, group: GroupId(17), at: 1.5 };
     assert_eq!(frames::parse(&purge), Ok(Some((10, Frame::News(wanted), purge.len()))));
 }
--- a/src/net/model/session.rs
+++ b/src/net/model/session.rs
@@ -25,7 +25,7 @@
         numbers: Rc::default(),
         memory,
         wait: 0.5,
-        figures: crate::broker::Figures::new(vec!["media".into(), "holds".into()]),
+        metrics: crate::broker::Metrics::new(vec!["media".into(), "holds".into()]),
     };
     Session::new(front.into(), tokio::sync::mpsc::unbounded_channel().0)
 }
@@ -108,7 +108,7 @@
                 }
             };
             match (kind, heard) {
-                (0 | 1, Some(Input::Ask { caller, ask, .. })) => {
+                (0 | 1, Some(Input::Request { caller, request: ask, .. })) => {
                     prop_assert!(caller.tag == tag && ask.deadline < now + 5.0 && open.insert(tag));
                 }
                 (2, None) => expect.push((tag, "fault".to_owned())),
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -6,7 +6,7 @@
 mod node_connections;
 
 use super::exchange::ended_without_answer;
-use crate::broker::{Command, Member, Order, Report, Ticket};
+use crate::broker::{AttemptId, Command, Member, Order, Report};
 use crate::interface::{NodeId, NodeState, Outcome};
 use crate::memory::Ledger;
 use connection::{ConnectionContext, ConnectionHandle};
@@ -49,7 +49,7 @@
 struct Pool {
     nodes: FxHashMap<NodeId, NodeConnections>,
     /// The last cancels.
-    cancelled: VecDeque<Ticket>,
+    cancelled: VecDeque<AttemptId>,
     context: ConnectionContext,
 }
 
@@ -61,18 +61,18 @@
     fn handle(&mut self, command: Command) {
         match command {
             Command::Send(order) => self.send(order),
-            Command::Cancel { ticket, node } => self.cancel(ticket, node),
-            Command::Roster { full, members } => self.update_nodes(full, &members),
+            Command::Cancel { attempt_id, node } => self.cancel(attempt_id, node),
+            Command::NodeList { full, members } => self.update_nodes(full, &members),
         }
     }
 
-    fn cancel(&mut self, ticket: Ticket, node: NodeId) {
+    fn cancel(&mut self, attempt_id: AttemptId, node: NodeId) {
         if self.cancelled.len() >= REMEMBERED_CANCELS {
             self.cancelled.pop_front();
         }
-        self.cancelled.push_back(ticket);
+        self.cancelled.push_back(attempt_id);
         if let Some(connections) = self.nodes.get(&node) {
-            connections.cancel(ticket);
+            connections.cancel(attempt_id);
         }
     }
 
@@ -101,21 +101,21 @@
     /// Sends what a connection handed back. Guards against one whose cancel came while it was on its way here, and
     /// found it neither there nor on another connection.
     fn resend(&mut self, order: Order) {
-        match self.cancelled.contains(&order.ticket) {
-            true => self.context.report(ended_without_answer(order.ticket, Outcome::NotSent)),
+        match self.cancelled.contains(&order.attempt_id) {
+            true => self.context.report(ended_without_answer(order.attempt_id, Outcome::NotSent)),
             false => self.send(order),
         }
     }
 
     /// Hands an order to a connection, or reports why none takes it.
     fn send(&mut self, order: Order) {
-        let ticket = order.ticket;
+        let attempt_id = order.attempt_id;
         let failure = match self.connection_for(&order) {
             Ok(connection) => connection.write(order).err(),
             Err(outcome) => Some(outcome),
         };
         if let Some(outcome) = failure {
-            self.context.report(ended_without_answer(ticket, outcome));
+            self.context.report(ended_without_answer(attempt_id, outcome));
         }
     }
 
@@ -127,7 +127,7 @@
         let address = connections.address().ok_or(Outcome::NotSent)?;
         let limits = self.context.limits;
         connections.forget_closed();
-        let least_loaded = connections.least_loaded(&order.ask.call, limits.streams);
+        let least_loaded = connections.least_loaded(&order.request.call, limits.streams);
         let may_open = connections.has_room() && total < limits.connections;
         let crowded = least_loaded.is_none_or(|(_, load)| load >= limits.requests_per_connection());
         let overhead = (may_open && crowded).then(|| self.context.ask_overhead()).flatten();
--- a/src/net/pool/connection.rs
+++ b/src/net/pool/connection.rs
@@ -5,7 +5,7 @@
 mod serve;
 
 use super::Limits;
-use crate::broker::{Order, Report, Ticket};
+use crate::broker::{AttemptId, Order, Report};
 use crate::interface::Outcome;
 use crate::memory::{AccountOwner, Grant, Ledger, Purpose};
 use crate::net::Buffer;
@@ -62,7 +62,7 @@
 /// To a connection's task.
 enum ConnectionCommand {
     Write(Order),
-    Cancel(Ticket),
+    Cancel(AttemptId),
     /// Its node has moved: finish what is under way, and end.
     Retire,
 }
@@ -98,8 +98,8 @@
     }
 
     /// Cancels an attempt, if it is here.
-    pub(super) fn cancel(&self, ticket: Ticket) {
-        let _ = self.commands.send(ConnectionCommand::Cancel(ticket));
+    pub(super) fn cancel(&self, attempt_id: AttemptId) {
+        let _ = self.commands.send(ConnectionCommand::Cancel(attempt_id));
     }
 
     /// Ends it once nothing is under way.
@@ -188,8 +188,8 @@
                 self.pending.set(self.pending.get().saturating_sub(1));
                 exchange.queue(order);
             }
-            ConnectionCommand::Cancel(ticket) => {
-                if let Some(report) = exchange.cancel(clock::now(), ticket) {
+            ConnectionCommand::Cancel(attempt_id) => {
+                if let Some(report) = exchange.cancel(clock::now(), attempt_id) {
                     self.context.report(report);
                 }
             }
@@ -209,10 +209,10 @@
             log!("cache node at {}: {error}", self.address);
         }
         for mut order in unsent {
-            if refused || order.returned >= MAX_RETURNS {
-                self.context.report(ended_without_answer(order.ticket, Outcome::ConnectFailed));
+            if refused || order.requeues >= MAX_RETURNS {
+                self.context.report(ended_without_answer(order.attempt_id, Outcome::ConnectFailed));
             } else {
-                order.returned += 1;
+                order.requeues += 1;
                 self.context.hand_back(order);
             }
         }
--- a/src/net/pool/connection/serve.rs
+++ b/src/net/pool/connection/serve.rs
@@ -179,10 +179,10 @@
         let mut progress = exchange.decode(now, input, send_report);
         while progress == Ok(Progress::NeedsMemory) {
             // Guards the node: what waits here is not to be taken for an answer that got lost.
-            if let Some(ticket) = exchange.ticket_at_head(input)
+            if let Some(attempt_id) = exchange.ticket_at_head(input)
                 && !timers.needs_memory()
             {
-                send_report(Report::HeldUp(ticket));
+                send_report(Report::AwaitingMemory(attempt_id));
             }
             if !timers.memory_wait_is_over(now) {
                 break;
--- a/src/signed/connection.rs
+++ b/src/signed/connection.rs
@@ -126,7 +126,7 @@
                 let Some(mut answer) = self.ask(ask).await? else { return Ok(false) };
                 // What the core gave up on since its time was over is told as that.
                 if matches!(answer, Answer::Refused(_) | Answer::Failed) && clock::now() >= deadline {
-                    answer = Answer::Late;
+                    answer = Answer::DeadlineExceeded;
                 }
                 self.answer(answer, request, end);
             }
@@ -293,8 +293,8 @@
         self.tag += 1;
         let caller = Caller { connection: self.number, tag: self.tag };
         let ended = |_| io::Error::other("the broker has ended");
-        let gone = ask.gone.clone();
-        let input = Input::Ask { caller, ask: ask.into(), reply: self.reply.clone() };
+        let gone = ask.cancelled.clone();
+        let input = Input::Request { caller, request: ask.into(), reply: self.reply.clone() };
         self.front.asks.send(input).await.map_err(ended)?;
         loop {
             let reads = self.input.len() < INPUT;
@@ -327,7 +327,7 @@
     /// Takes memory for a request and its body; what does not fit is refused before its body is read.
     fn hold(&self, mut ask: ClientRequest, body: usize) -> Admitted {
         let rules = self.front.classes.get(usize::from(ask.class.0));
-        let held = ask.hold(&self.front.memory, rules.is_some_and(|c| c.uncacheable), body);
+        let held = ask.reserve_memory(&self.front.memory, rules.is_some_and(|c| c.uncacheable), body);
         held.map_err(|Refused { .. }| BUSY).map(|()| ask)
     }
 
@@ -344,7 +344,7 @@
             }
             Answer::Forbidden => self.say(403, &[end], "no contract covers the request", bare),
             Answer::Failed => self.say(502, &[end], "the caches failed", bare),
-            Answer::Late => self.say(504, &[end], "no answer in time", bare),
+            Answer::DeadlineExceeded => self.say(504, &[end], "no answer in time", bare),
         }
     }
 
@@ -361,7 +361,7 @@
         let same = request.field("if-range").is_none_or(|tag| tag == etag);
         let asked = request.field("range").filter(|_| request.method == "GET" && same);
         let (status, part, place) = match asked.and_then(|r| http::range(r, length)) {
-            _ if content.current => (304, 0..0, None),
+            _ if content.not_modified => (304, 0..0, None),
             None => (200, 0..length, None),
             Some(Ok(r)) => (206, r.clone(), Some(format!("bytes {}-{}/{length}", r.start, r.end - 1))),
             Some(Err(())) => (416, 0..0, Some(format!("bytes */{length}"))),
--- a/src/signed/mod.rs
+++ b/src/signed/mod.rs
@@ -176,7 +176,7 @@
             call: format!("{:016x}", fastrand::u64(..)).into(),
             asset: format!("{object:016x}").into(),
             key: key.map(Into::into),
-            have: etag.filter(plain).map(Into::into),
+            client_etag: etag.filter(plain).map(Into::into),
             path: Some(target.path.into()),
             ..ClientRequest::default()
         })
--- a/src/xds.rs
+++ b/src/xds.rs
@@ -1,7 +1,7 @@
 //! Discovery in xDS form: Envoy's v3 clusters and endpoints, polled as JSON over REST, into the core's node
 //! list. An update that cannot be used is rejected whole, the last good one stays, and the server is told.
 
-use crate::broker::{Member, News};
+use crate::broker::{DiscoveryUpdate, Member};
 use crate::interface::*;
 use crate::memory::{AccountOwner, Ledger, Purpose};
 use crate::net::{Buffer, Live};
@@ -250,7 +250,7 @@
     server: Rc<Live<(SocketAddr, f64)>>,
     node: String,
     names: Names,
-    news: UnboundedSender<News>,
+    news: UnboundedSender<DiscoveryUpdate>,
     memory: Ledger,
 ) {
     let mut world = World::new(names.clone());
@@ -282,7 +282,7 @@
             && !members.is_empty()
         {
             told = Some(members.clone());
-            if news.send(News::Roster { full: true, members }).is_err() {
+            if news.send(DiscoveryUpdate::NodeList { full: true, members }).is_err() {
                 return;
             }
         }
