--- a/src/broker/admission.rs
+++ b/src/broker/admission.rs
@@ -31,7 +31,7 @@
             return self.turn_away(caller, ask.class, Answer::DeadlineExceeded);
         }
         #[cfg(feature = "planted")]
-        if crate::planted::refuses(ask.class.0) {
+        if crate::planted::should_refuse(ask.class.0) {
             return self.turn_away(caller, ask.class, Answer::Refused(0.1));
         }
         if !self.contracts.covers(&ask) {
--- a/src/broker/messages.rs
+++ b/src/broker/messages.rs
@@ -3,7 +3,7 @@
 use super::metrics::Count;
 use super::tenants::TeamId;
 use crate::interface::*;
-use crate::memory::{AccountOwner, Grant, Ledger, Purpose, Refused};
+use crate::memory::{AccountOwner, Grant, Ledger, MemoryRefusal, Purpose};
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -84,15 +84,20 @@
 }
 
 impl ClientRequest {
-    /// Takes memory for the request and for a body of so many bytes. `precious` ones may have the reserve.
-    pub fn reserve_memory(&mut self, memory: &Ledger, precious: bool, body: usize) -> Result<(), Refused> {
-        let holder = |purpose| AccountOwner { purpose, team: self.team, precious };
-        if !memory.admits(REQUEST_OVERHEAD_BYTES + body, precious) {
-            return Err(memory.refuse(Purpose::Waiting));
+    /// Takes memory for the request and for a body of so many bytes. `may_use_reserve` ones may have the reserve.
+    pub fn reserve_memory(
+        &mut self,
+        memory: &Ledger,
+        may_use_reserve: bool,
+        body: usize,
+    ) -> Result<(), MemoryRefusal> {
+        let holder = |purpose| AccountOwner { purpose, team: self.team, may_use_reserve };
+        if !memory.admits(REQUEST_OVERHEAD_BYTES + body, may_use_reserve) {
+            return Err(memory.count_refusal(Purpose::Waiting));
         }
         self.held = [
-            memory.ask(holder(Purpose::Waiting), REQUEST_OVERHEAD_BYTES)?,
-            memory.ask(holder(Purpose::Bodies), body)?,
+            memory.acquire(holder(Purpose::Waiting), REQUEST_OVERHEAD_BYTES)?,
+            memory.acquire(holder(Purpose::Bodies), body)?,
         ];
         Ok(())
     }
--- a/src/broker/mod.rs
+++ b/src/broker/mod.rs
@@ -95,8 +95,10 @@
             timers: Timers::default(),
             closes: f64::INFINITY,
             next_id: 0,
-            tables: setup.memory.empty(AccountOwner { precious: true, ..AccountOwner::of(Purpose::Waiting) }),
-            learned: setup.memory.empty(AccountOwner::of(Purpose::Learned)),
+            tables: setup
+                .memory
+                .empty_grant(AccountOwner { may_use_reserve: true, ..AccountOwner::of(Purpose::Waiting) }),
+            learned: setup.memory.empty_grant(AccountOwner::of(Purpose::Learned)),
             memory: setup.memory,
             queue: VecDeque::new(),
             actions: Vec::new(),
--- a/src/broker/run.rs
+++ b/src/broker/run.rs
@@ -79,7 +79,7 @@
             match effect {
                 Effect::Command(command) => {
                     #[cfg(feature = "planted")]
-                    if let Some(late) = crate::planted::delay() {
+                    if let Some(late) = crate::planted::attempt_delay() {
                         let commands = commands.clone();
                         tokio::task::spawn_local(async move {
                             tokio::time::sleep(late).await;
--- a/src/config/sections.rs
+++ b/src/config/sections.rs
@@ -4,14 +4,14 @@
 use super::key_path::KeyPath;
 use super::{Signed, Xds};
 use crate::broker::Team;
-use crate::memory::{AccountLimits, PURPOSES, Plan, Purpose};
+use crate::memory::{LimitOverrides, PURPOSES, Plan, Purpose};
 
 /// Share of each account that one of several teams may hold.
 const TEAM_SHARE: f64 = 0.5;
 
 /// Reads the table of memory by purpose: sizes in megabytes (`cap_mb`) or shares of the total (`cap`).
 pub(super) fn memory(top: &KeyPath, total: usize, teams: usize) -> Result<Plan, String> {
-    let mut wishes = [AccountLimits::default(); PURPOSES];
+    let mut wishes = [LimitOverrides::default(); PURPOSES];
     let mut share = if teams > 1 { TEAM_SHARE } else { 1.0 };
     let Some(table) = top.opt("memory") else {
         return Plan::new(total, &wishes, share).map_err(|e| format!("{}: {e}", top.what));
--- a/src/director.rs
+++ b/src/director.rs
@@ -111,7 +111,7 @@
     lag_at: f64,
     pace: Pace,
     /// What this director sent it lately.
-    own: Share,
+    own: RecentWork,
     hearing: Hearing,
     /// When the newest attempt went that it has answered.
     answered: f64,
@@ -176,7 +176,7 @@
     rng: fastrand::Rng,
     nodes: BTreeMap<NodeId, Known>,
     edges: Vec<NodeId>,
-    parents: Ring,
+    parents: ParentRing,
     origin: Option<NodeId>,
     /// When the event came that is handled.
     now: f64,
@@ -186,7 +186,7 @@
     /// When an object or group was purged, and when this director heard.
     purges: Purges,
     /// Which objects are hot, and why caches were chosen.
-    heat: Heat,
+    heat: PopularitySketch,
     reasons: ReasonCounts,
     /// Mean sending time by class.
     work: Vec<f64>,
@@ -225,13 +225,13 @@
             rng: fastrand::Rng::with_seed(seed),
             nodes: BTreeMap::new(),
             edges: Vec::new(),
-            parents: Ring::default(),
+            parents: ParentRing::default(),
             origin: None,
             now: 0.0,
             open: FxHashMap::default(),
             held: Beliefs::new(seed, BELIEF_AGE),
             purges: Purges::default(),
-            heat: Heat::default(),
+            heat: PopularitySketch::default(),
             reasons: ReasonCounts::default(),
             hits: vec![0.0; work.len()],
             sizes: vec![Sizes::default(); work.len()],
@@ -292,7 +292,7 @@
                 if let Some(sending) = self.settings.transfer_time(request.kb) {
                     smooth(&mut self.work[usize::from(request.class.0)], sending, SMOOTH);
                 }
-                self.heat.saw(now, request.object, request.part, self.sending(&request));
+                self.heat.record(now, request.object, request.part, self.sending(&request));
                 let open = Open { request, came: now, ..Open::default() };
                 self.open.insert(request.id, open);
                 self.decide(now, request.id, actions);
@@ -365,9 +365,9 @@
             self.nodes.values_mut().for_each(|k| k.listed = false);
         }
         // What comes new is no emptier than the others, or else all that is free to choose would go there.
-        let own: f64 = self.edges.iter().filter_map(|e| Some(self.nodes.get(e)?.own.by(now))).sum();
+        let own: f64 = self.edges.iter().filter_map(|e| Some(self.nodes.get(e)?.own.decayed(now))).sum();
         let (level, me) =
-            (Share::level(now, own / self.edges.len().max(1) as f64), self.settings.director_number);
+            (RecentWork::new(now, own / self.edges.len().max(1) as f64), self.settings.director_number);
         for info in nodes {
             let known =
                 self.nodes.entry(info.id).or_insert_with(|| Known { own: level, ..Known::new(*info, me) });
@@ -386,7 +386,7 @@
         self.origin = listed().find(|n| n.kind == origin_kind).map(|n| n.id);
         let hub = self.settings.hub_of_zone.get(usize::from(self.settings.own_zone.0));
         let parents = listed().filter(|n| Some(n.kind) == parent_kind);
-        self.parents = Ring::new(parents.map(|n| (n.id, Some(&n.zone) == hub)));
+        self.parents = ParentRing::new(parents.map(|n| (n.id, Some(&n.zone) == hub)));
         let own = self.settings.own_zone;
         let edge = |n: &Node| Some(n.kind) != parent_kind && n.kind != origin_kind && n.zone == own;
         self.edges = listed().filter(edge).map(|n| n.id).collect();
@@ -465,11 +465,11 @@
         // and what leaves no copy has all.
         let count = match uncacheable {
             true => usable.len(),
-            false => self.heat.homes(now, request.object, request.part, sending, self.edges.len()),
+            false => self.heat.home_count(now, request.object, request.part, sending, self.edges.len()),
         };
-        let start = Cold::of(&self.settings, false);
-        let home = |&node: &NodeId| Home { node, weight: self.nodes[&node].size };
-        let homes = Homes::new(request.object.0, count, usable.iter().map(home));
+        let start = SlowStart::from_settings(&self.settings, false);
+        let home = |&node: &NodeId| WeightedCache { node, weight: self.nodes[&node].size };
+        let homes = RendezvousOrder::new(request.object.0, count, usable.iter().map(home));
         let drawn = request.object.0 ^ u64::from(self.settings.director_number) << 48;
         let hashed = homes.pick(count, drawn, |home| self.load(now, &start, home));
         let holders = self.holders(now, &request);
@@ -482,7 +482,7 @@
         candidates.extend(hashed.filter(|&h| !among(&candidates, h)).map(stretched));
         // Exception, spreading: where every candidate's link is full, the next by hash joins the choice.
         if candidates.iter().all(|c| c.1 > SPREAD_AT) {
-            let next = hashed.and_then(|h| homes.other(h)).filter(|&h| !among(&candidates, h));
+            let next = hashed.and_then(|h| homes.first_except(h)).filter(|&h| !among(&candidates, h));
             candidates.extend(next.map(stretched));
         }
         // Miss penalty M: what a fill from above takes beyond a hit, and what it takes of the link in.
@@ -495,10 +495,10 @@
             let believed = holders.contains(&node);
             let known = &self.nodes[&node];
             let access = known.lag + sending * stretch;
-            let cold = start.part(now, known.info.ready_at) < 1.0;
+            let cold = start.capacity_share(now, known.info.ready_at) < 1.0;
             let spread = Some(node) != hashed && !believed;
             let signs = [known.blamed.is_some(), cold, spread, uncacheable, count > 1, believed];
-            let why = RoutingReason::first(signs);
+            let why = RoutingReason::from_flags(signs);
             let absent = self.exclusion.chance(believed, n);
             let from_upper = upper.or((believed && !uncacheable).then_some(node)).map(|source| {
                 (source, false, access + penalty * absent, access + if believed { 0.0 } else { penalty })
@@ -542,7 +542,7 @@
             // A jam of its link shows in how its fills flow; the origin's, which is everybody's, in their
             // wait.
             let jammed = |b: NodeId| self.nodes[&b].pace.alone(now) > STRETCHED;
-            let slow = draw == NEAR_DRAWS && self.parents.has_far() && best.is_some_and(jammed);
+            let slow = draw == NEAR_DRAWS && self.parents.spans_hubs() && best.is_some_and(jammed);
             if draw >= NEAR_DRAWS && best.is_some() && !slow || self.parents.is_empty() {
                 break;
             }
@@ -601,7 +601,7 @@
         self.book(now, &choice, 1.0, self.work[usize::from(request.class.0)]);
         let sending = self.sending(&request);
         if let Some(k) = self.nodes.get_mut(&node) {
-            k.own.sent(now, sending);
+            k.own.add(now, sending);
             k.hearing.sent(now + choice.latency);
         }
         let then = (self.transfers(&self.nodes[&node]), self.fills());
@@ -933,9 +933,9 @@
     }
 
     /// What was sent to a cache lately per unit of its link: a cold one has only a part of it yet.
-    fn load(&self, now: f64, start: &Cold, id: NodeId) -> f64 {
+    fn load(&self, now: f64, start: &SlowStart, id: NodeId) -> f64 {
         let k = &self.nodes[&id];
-        k.own.by(now) / (k.size * start.part(now, k.info.ready_at).max(0.01))
+        k.own.decayed(now) / (k.size * start.capacity_share(now, k.info.ready_at).max(0.01))
     }
 
     /// Does a cold node's budget bear this much more work? What warm nodes of its tier carry in the mean, all
@@ -943,13 +943,13 @@
     fn room(&self, now: f64, k: &Known, work: f64) -> bool {
         let s = &self.settings;
         let parent = Some(k.info.kind) == s.parent_kind;
-        let cold = Cold::of(s, parent);
+        let cold = SlowStart::from_settings(s, parent);
         let ready_at = k.info.ready_at;
-        if cold.part(now, ready_at) >= 1.0 {
+        if cold.capacity_share(now, ready_at) >= 1.0 {
             return true;
         }
         let (carried, rate) = if parent {
-            (self.above.carried / self.parents.parents().max(1.0), f64::INFINITY)
+            (self.above.carried / self.parents.parent_count().max(1.0), f64::INFINITY)
         } else {
             let blamed = |e: &&NodeId| self.nodes[*e].blamed.is_some();
             let takers = (self.edges.len() - self.edges.iter().filter(blamed).count()).max(1) as f64;
@@ -960,7 +960,7 @@
             if s.weights_are_link_sizes { k.info.weight } else { (cold.sharers * carried).max(LINK_SAFE) };
         let lately = k.sent.iter().filter(|x| x.0 + s.overload_window > now).map(|x| x.1).sum();
         let seed = k.info.id.0 ^ u64::from(s.director_number) << 32;
-        cold.admits(SlowStartRequest { now, ready_at, link, work, lately, rate, seed })
+        cold.admits(SlowStartRequest { now, ready_at, link, work, recent_work: lately, rate, seed })
     }
 }
 
@@ -975,7 +975,7 @@
 
 impl Known {
     fn new(info: Node, me: u16) -> Self {
-        let (never, pace) = (f64::MIN, Pace::new(unit(info.id.0, u64::from(me))));
+        let (never, pace) = (f64::MIN, Pace::new(unit_hash(info.id.0, u64::from(me))));
         Known { info, lag: BASE, pace, size: 1.0, answered: never, struck: never, ..Known::default() }
     }
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -8,7 +8,7 @@
 use onyxyoke::net::{ListenerState, Live, admin, clients, coordinator, pool};
 use onyxyoke::signed::keys::{KeyFile, Keys};
 use onyxyoke::state::{StateStore, StateWorker, Succession};
-use onyxyoke::turns::{self, TaskKind, measured};
+use onyxyoke::turns::{self, TaskKind, track_polls};
 use onyxyoke::{clock, log, signed, watch, xds};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -172,7 +172,7 @@
         };
         log!("{name} serves on {}", listener.local_addr()?);
         let accepting = clients::accept(listener, Rc::new(front), self.listening.clone());
-        self.served.spawn_local(measured(TaskKind::Listener, accepting));
+        self.served.spawn_local(track_polls(TaskKind::Listener, accepting));
         Ok(())
     }
 
@@ -188,12 +188,12 @@
         let text = std::fs::read_to_string(&signed.keys).map_err(|e| wrong(e.to_string()))?;
         let mut keys = Keys::default();
         keys.replace(clock::now(), 0.0, KeyFile::parse(&text).map_err(wrong)?);
-        let held = self.memory.ask(AccountOwner::of(Purpose::Signed), keys.footprint());
+        let held = self.memory.acquire(AccountOwner::of(Purpose::Signed), keys.footprint());
         let held = held.map_err(|_| wrong("they are larger than 'memory.signed' allows".into()))?;
         let keys = Rc::new(RefCell::new(keys));
         let times = (signed.keys_refresh, signed.key_overlap);
         let watching = signed::watch_keys(signed.keys, text, keys.clone(), times, held);
-        spawn_local(measured(TaskKind::Keys, watching));
+        spawn_local(track_polls(TaskKind::Keys, watching));
         let front = signed::Front {
             asks: self.asks.clone(),
             contracts: self.contracts.clone(),
@@ -209,7 +209,7 @@
         };
         log!("{name} serves signed links on {}", listener.local_addr()?);
         let accepting = signed::accept(listener, Rc::new(front), self.listening.clone());
-        self.served.spawn_local(measured(TaskKind::Listener, accepting));
+        self.served.spawn_local(track_polls(TaskKind::Listener, accepting));
         Ok(())
     }
 }
@@ -311,7 +311,7 @@
             settings: settings.clone(),
             build: Cell::new(None),
         };
-        spawn_local(measured(TaskKind::Operators, admin::serve(listener, Rc::new(context))));
+        spawn_local(track_polls(TaskKind::Operators, admin::serve(listener, Rc::new(context))));
         (cordons, succession) = (kept.cordons, Some(kept.succession));
     }
     drop(operators_in);
@@ -322,8 +322,8 @@
         connections: (config.max_descriptors / SHARE).max(1),
         handshake: config.handshake_cost,
     };
-    spawn_local(measured(TaskKind::Pool, pool::run(commands, reports_in, limits, memory.clone())));
-    spawn_local(measured(TaskKind::Memory, watch::memory(memory.clone())));
+    spawn_local(track_polls(TaskKind::Pool, pool::run(commands, reports_in, limits, memory.clone())));
+    spawn_local(track_polls(TaskKind::Memory, watch::memory(memory.clone())));
 
     let seed = config.seed;
     let mut broker = Broker::new(Setup {
@@ -348,10 +348,10 @@
     };
     if let Some(server) = &feed.discovery {
         let following = xds::follow(server.clone(), config.name, config.names, news_in, memory.clone());
-        spawn_local(measured(TaskKind::Discovery, following));
+        spawn_local(track_polls(TaskKind::Discovery, following));
     } else if let Some(address) = &feed.coordinator {
         let following = coordinator::follow(address.clone(), last, seed, news_in, memory.clone());
-        spawn_local(measured(TaskKind::Discovery, following));
+        spawn_local(track_polls(TaskKind::Discovery, following));
     }
     let inputs = Inputs {
         updates: news,
@@ -362,7 +362,7 @@
         print: print.clone(),
         close: closes,
     };
-    let mut core = spawn_local(measured(TaskKind::Broker, broker::run(broker, inputs, commands_in)));
+    let mut core = spawn_local(track_polls(TaskKind::Broker, broker::run(broker, inputs, commands_in)));
     // The core ends with the last connection that may ask.
     let Fronts { listening, mut served, asks, .. } = fronts;
     drop(asks);
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -5,9 +5,9 @@
 use crate::broker::{Metrics, OperatorRequest};
 use crate::interface::NodeId;
 use crate::membership::{OperatorOverride, node_id};
-use crate::spread::HOMES;
+use crate::spread::HOME_RULE_VERSION;
 use crate::state::StateWorker;
-use crate::turns::{TaskKind, measured};
+use crate::turns::{TaskKind, track_polls};
 use crate::{clock, log};
 use std::cell::Cell;
 use std::collections::VecDeque;
@@ -122,10 +122,12 @@
             Err(why) => return format!("fail {why}\n"),
         };
         #[cfg(feature = "planted")]
-        match crate::planted::socket() {
-            crate::planted::Socket::Mute => std::future::pending().await,
-            crate::planted::Socket::Never if call == Call::Health => return "fail no: planted\n".into(),
-            crate::planted::Socket::Other if call == Call::Version => {
+        match crate::planted::operator_fault() {
+            crate::planted::OperatorFault::Mute => std::future::pending().await,
+            crate::planted::OperatorFault::NeverReady if call == Call::Health => {
+                return "fail no: planted\n".into();
+            }
+            crate::planted::OperatorFault::OtherBuild if call == Call::Version => {
                 return "ok build=0 settings=0 homes=0 pid=0\n".into();
             }
             _ => {}
@@ -177,7 +179,10 @@
             }
         }
         let (build, settings) = (self.build.get().unwrap_or(0), self.settings.get());
-        format!("ok build={build:016x} settings={settings:016x} homes={HOMES} pid={}\n", std::process::id())
+        format!(
+            "ok build={build:016x} settings={settings:016x} homes={HOME_RULE_VERSION} pid={}\n",
+            std::process::id()
+        )
     }
 
     /// Hands the broker what the file says, if another process changed it.
@@ -199,7 +204,7 @@
 /// Serves operators until the program ends.
 pub async fn serve(listener: TcpListener, context: Rc<AdminContext>) {
     let mut callers: VecDeque<JoinHandle<()>> = VecDeque::new();
-    spawn_local(measured(TaskKind::Operators, context.clone().watch_file()));
+    spawn_local(track_polls(TaskKind::Operators, context.clone().watch_file()));
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
@@ -209,7 +214,8 @@
                 {
                     first.abort();
                 }
-                callers.push_back(spawn_local(measured(TaskKind::Operators, call(stream, context.clone()))));
+                callers
+                    .push_back(spawn_local(track_polls(TaskKind::Operators, call(stream, context.clone()))));
             }
             Err(e) => {
                 log!("cannot accept an operator: {e}");
--- a/src/net/buffer.rs
+++ b/src/net/buffer.rs
@@ -2,7 +2,7 @@
 //! need beyond their connection's own from an account, before they use it.
 
 use super::ClientSocket;
-use crate::memory::{Grant, Refused};
+use crate::memory::{Grant, MemoryRefusal};
 use std::cell::Cell;
 use std::collections::VecDeque;
 use std::io::{self, IoSlice};
@@ -88,7 +88,7 @@
         if self.is_empty() {
             self.data.clear();
             self.head = 0;
-            if self.data.capacity() > self.keep || self.room.pressed() {
+            if self.data.capacity() > self.keep || self.room.should_release_buffers() {
                 self.data = Vec::new();
                 self.room.shrink(usize::MAX);
             }
@@ -108,7 +108,7 @@
     }
 
     /// Makes room for `wanted` bytes after those that are held: moves these to the front, and grows.
-    pub fn reserve(&mut self, wanted: usize) -> Result<(), Refused> {
+    pub fn reserve(&mut self, wanted: usize) -> Result<(), MemoryRefusal> {
         if self.data.capacity() - self.data.len() >= wanted {
             return Ok(());
         }
@@ -310,7 +310,7 @@
     /// A buffer outside of a front, which nothing limits.
     fn default() -> Self {
         use crate::memory::{AccountOwner, Ledger, Purpose};
-        Buffer::new(4096, Ledger::unlimited().empty(AccountOwner::of(Purpose::Caches)))
+        Buffer::new(4096, Ledger::unlimited().empty_grant(AccountOwner::of(Purpose::Caches)))
     }
 }
 
--- a/src/net/buffer/tests.rs
+++ b/src/net/buffer/tests.rs
@@ -12,7 +12,7 @@
 #[test]
 fn a_buffer_asks_before_it_grows_and_gives_back_when_empty() {
     let ledger = ledger(20_000);
-    let mut b = Buffer::new(1000, ledger.empty(AccountOwner::of(Purpose::Partial)));
+    let mut b = Buffer::new(1000, ledger.empty_grant(AccountOwner::of(Purpose::Partial)));
     assert!(b.push(&[1; 1000]) && ledger.accounts().used(Purpose::Partial) == 0, "its own");
     assert!(b.push(&[2; 7000]));
     assert_eq!(ledger.accounts().used(Purpose::Partial), 8192 - 1000);
@@ -31,8 +31,8 @@
 #[test]
 fn an_output_gives_bodies_back_as_they_are_sent() {
     let ledger = ledger(20_000);
-    let mut out = Output::new(ledger.empty(AccountOwner::of(Purpose::Unread)));
-    let body = |n: usize| (vec![b'b'; n], ledger.ask(AccountOwner::of(Purpose::Unread), n).unwrap());
+    let mut out = Output::new(ledger.empty_grant(AccountOwner::of(Purpose::Unread)));
+    let body = |n: usize| (vec![b'b'; n], ledger.acquire(AccountOwner::of(Purpose::Unread), n).unwrap());
     let ((one, first), (two, second)) = (body(3), body(4));
     out.push(b"head ");
     out.push(b"more ");
--- a/src/net/clients.rs
+++ b/src/net/clients.rs
@@ -11,7 +11,7 @@
 use super::ListenerState;
 use crate::broker::{ClientRequest, Contracts, Input, Metrics};
 use crate::config::Classes;
-use crate::memory::{Ledger, Refused};
+use crate::memory::{Ledger, MemoryRefusal};
 use connection::ClientConnection;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -42,7 +42,7 @@
 
 impl Front {
     /// Takes memory for a request and for its body, which it has from then on.
-    fn hold(&self, mut ask: ClientRequest, body: &[u8]) -> Result<ClientRequest, Refused> {
+    fn hold(&self, mut ask: ClientRequest, body: &[u8]) -> Result<ClientRequest, MemoryRefusal> {
         ask.reserve_memory(&self.memory, self.classes.uncacheable(ask.class), body.len())?;
         ask.body = body.to_vec();
         Ok(ask)
--- a/src/net/clients/connection.rs
+++ b/src/net/clients/connection.rs
@@ -127,7 +127,7 @@
     /// Reads requests and writes answers until the connection ends.
     async fn exchange(&mut self) -> Result<End, Ended> {
         let socket = self.socket.clone();
-        let bodies = self.session.front.memory.empty(AccountOwner::of(Purpose::Bodies));
+        let bodies = self.session.front.memory.empty_grant(AccountOwner::of(Purpose::Bodies));
         let mut input = Buffer::new(INPUT, bodies);
         let mut timers = Timers::new(clock::now());
         loop {
--- a/src/net/clients/session.rs
+++ b/src/net/clients/session.rs
@@ -47,7 +47,9 @@
     pub(in crate::net) fn new(front: Rc<Front>, reply: UnboundedSender<(u64, Answer)>) -> Self {
         let number = front.numbers.get() + 1;
         front.numbers.set(number);
-        let unread = front.memory.empty(AccountOwner { precious: true, ..AccountOwner::of(Purpose::Unread) });
+        let unread = front
+            .memory
+            .empty_grant(AccountOwner { may_use_reserve: true, ..AccountOwner::of(Purpose::Unread) });
         Session {
             front,
             number,
@@ -156,9 +158,11 @@
         let resp::Pending { tag, class, body, total } = resp::pending(input.bytes())?;
         let front = &self.front;
         let class = front.classes.get(class);
-        let precious = class.is_some_and(|c| front.classes.uncacheable(c));
-        input.set_room(|| front.memory.empty(AccountOwner { precious, ..AccountOwner::of(Purpose::Bodies) }));
-        let admitted = self.open.len() < OPEN_MOST && front.memory.admits(body, precious);
+        let may_use_reserve = class.is_some_and(|c| front.classes.uncacheable(c));
+        input.set_room(|| {
+            front.memory.empty_grant(AccountOwner { may_use_reserve, ..AccountOwner::of(Purpose::Bodies) })
+        });
+        let admitted = self.open.len() < OPEN_MOST && front.memory.admits(body, may_use_reserve);
         if admitted && input.reserve(total - input.len()).is_ok() || self.open.contains_key(&tag) {
             return None;
         }
--- a/src/net/connection_memory.rs
+++ b/src/net/connection_memory.rs
@@ -95,7 +95,7 @@
     }
 
     fn ask(&self) -> Option<Grant> {
-        self.ledger.ask(AccountOwner::of(Purpose::Clients), CONNECTION_BYTES + TEXT).ok()
+        self.ledger.acquire(AccountOwner::of(Purpose::Clients), CONNECTION_BYTES + TEXT).ok()
     }
 
     /// Closes some idle connections whose clients lose nothing; were there any?
--- a/src/net/coordinator.rs
+++ b/src/net/coordinator.rs
@@ -180,8 +180,8 @@
     stream.set_nodelay(true)?;
     stream.write_all(&feed.last.to_be_bytes()).await?;
     // News are more precious than anything they could push out: no list or purge is missed for want of memory.
-    let holder = AccountOwner { precious: true, ..AccountOwner::of(Purpose::Learned) };
-    let mut buffer = Buffer::new(OWN, memory.empty(holder));
+    let holder = AccountOwner { may_use_reserve: true, ..AccountOwner::of(Purpose::Learned) };
+    let mut buffer = Buffer::new(OWN, memory.empty_grant(holder));
     let mut silent_at = clock::instant(clock::now() + SILENT_AFTER);
     loop {
         let Ok(ready) = timeout_at(silent_at, stream.readable()).await else { return Ok("silence") };
--- a/src/net/exchange/in_flight.rs
+++ b/src/net/exchange/in_flight.rs
@@ -44,7 +44,7 @@
 
     /// The account that holds memory for its answer.
     pub(super) fn account(&self, purpose: Purpose) -> AccountOwner {
-        AccountOwner { purpose, team: self.team, precious: self.uncacheable }
+        AccountOwner { purpose, team: self.team, may_use_reserve: self.uncacheable }
     }
 }
 
--- a/src/net/exchange/incoming.rs
+++ b/src/net/exchange/incoming.rs
@@ -101,7 +101,7 @@
             return Admission::SlowClient;
         }
         let content = layout.line + layout.length.unwrap_or(0);
-        let Ok(grant) = self.memory.ask(request.account(Purpose::Unread), content) else {
+        let Ok(grant) = self.memory.acquire(request.account(Purpose::Unread), content) else {
             return Admission::NoMemory;
         };
         self.grant = Some(match request.client_unread.clone() {
@@ -118,7 +118,7 @@
         layout: AnswerLayout,
         buffer: &mut Buffer,
     ) -> Progress {
-        buffer.set_room(|| self.memory.empty(request.account(Purpose::Partial)));
+        buffer.set_room(|| self.memory.empty_grant(request.account(Purpose::Partial)));
         if buffer.reserve(layout.total - buffer.len()).is_err() {
             self.grant = None;
             return Progress::NeedsMemory;
--- a/src/net/exchange/send.rs
+++ b/src/net/exchange/send.rs
@@ -41,9 +41,12 @@
 
     /// Encodes an order, if there is memory for it.
     fn encode_order(&self, order: &Order, patience_ms: u64, out: &mut Buffer) -> bool {
-        let account =
-            AccountOwner { purpose: Purpose::Bodies, team: order.request.team, precious: order.uncacheable };
-        out.set_room(|| self.memory.empty(account));
+        let account = AccountOwner {
+            purpose: Purpose::Bodies,
+            team: order.request.team,
+            may_use_reserve: order.uncacheable,
+        };
+        out.set_room(|| self.memory.empty_grant(account));
         lines::serve(out, order, patience_ms)
     }
 
--- a/src/net/model/memory.rs
+++ b/src/net/model/memory.rs
@@ -22,7 +22,7 @@
 fn an_answer_without_memory_is_given_up_and_those_behind_it_are_read() {
     let memory = scarce(Purpose::Unread, 2000, 0);
     let (mut exchange, mut out) = (Exchange::new(memory.clone()), Buffer::default());
-    let mut input = Buffer::new(512, memory.empty(AccountOwner::of(Purpose::Partial)));
+    let mut input = Buffer::new(512, memory.empty_grant(AccountOwner::of(Purpose::Partial)));
     let used = |purpose| memory.accounts().used(purpose);
     for call in [1, 5, 7] {
         exchange.queue(order(call.into(), call, 1010.0));
@@ -81,7 +81,7 @@
 fn a_body_without_memory_is_refused_and_passed_over() {
     let memory = scarce(Purpose::Bodies, 20_000, 12_000);
     let mut session = session(memory.clone());
-    let mut input = Buffer::new(4096, memory.empty(AccountOwner::of(Purpose::Bodies)));
+    let mut input = Buffer::new(4096, memory.empty_grant(AccountOwner::of(Purpose::Bodies)));
     let mut feed = |session: &mut Session, bytes: &[u8]| {
         assert!(input.push(bytes));
         let mut heard = Vec::new();
@@ -104,7 +104,7 @@
     assert_eq!(memory.accounts().used(Purpose::Bodies), 0);
     session.output.consume(usize::MAX);
     // The same connection goes on behind it.
-    let mut input = Buffer::new(4096, memory.empty(AccountOwner::of(Purpose::Bodies)));
+    let mut input = Buffer::new(4096, memory.empty_grant(AccountOwner::of(Purpose::Bodies)));
     let hold = write("2", "holds", 5_000);
     assert!(input.push(&hold[..300]));
     assert!(matches!(session.take(1000.0, &mut input), Ok(None)), "granted, and waited for");
@@ -116,6 +116,6 @@
     assert_eq!((ask.body.len(), memory.accounts().used(Purpose::Bodies)), (5_000, 5_000));
     drop(ask);
     assert_eq!((memory.accounts().used(Purpose::Bodies), memory.accounts().used(Purpose::Waiting)), (0, 0));
-    let refused = memory.accounts().sight(Purpose::Bodies).refused;
+    let refused = memory.accounts().snapshot(Purpose::Bodies).refused;
     assert!(refused >= 1, "{refused}");
 }
--- a/src/net/pool/connection.rs
+++ b/src/net/pool/connection.rs
@@ -10,7 +10,7 @@
 use crate::memory::{AccountOwner, Grant, Ledger, Purpose};
 use crate::net::Buffer;
 use crate::net::exchange::{EndedBy, Exchange, ended_without_answer};
-use crate::turns::{TaskKind, measured};
+use crate::turns::{TaskKind, track_polls};
 use crate::{clock, log};
 use node_socket::NodeSocket;
 use std::cell::{Cell, RefCell};
@@ -50,7 +50,7 @@
     /// Asks for the memory that a connection needs for itself.
     pub(super) fn ask_overhead(&self) -> Option<Grant> {
         let bytes = TASK_BYTES + INPUT_BYTES + OUTPUT_BYTES;
-        self.memory.ask(AccountOwner::of(Purpose::Caches), bytes).ok()
+        self.memory.acquire(AccountOwner::of(Purpose::Caches), bytes).ok()
     }
 
     /// Hands an order that was not sent back to the pool.
@@ -123,7 +123,7 @@
         _overhead: overhead,
         retired: false,
     };
-    tokio::task::spawn_local(measured(TaskKind::Cache, connection.run()));
+    tokio::task::spawn_local(track_polls(TaskKind::Cache, connection.run()));
     handle
 }
 
@@ -144,7 +144,7 @@
         let refused = connected.as_ref().is_err_and(|error| error.kind() != io::ErrorKind::ConnectionReset);
         // What a body needs beyond the connection's own is granted with the body's own account.
         let mut output =
-            Buffer::new(OUTPUT_BYTES, self.context.memory.empty(AccountOwner::of(Purpose::Bodies)));
+            Buffer::new(OUTPUT_BYTES, self.context.memory.empty_grant(AccountOwner::of(Purpose::Bodies)));
         let result = match connected {
             Ok(stream) => self.serve(NodeSocket::new(stream), &mut output).await,
             Err(error) => Err(error),
--- a/src/net/pool/connection/serve.rs
+++ b/src/net/pool/connection/serve.rs
@@ -92,7 +92,7 @@
     /// The loop: commands, writes, answers and timers, until the connection ends.
     async fn exchange_messages(&mut self, socket: &NodeSocket, output: &mut Buffer) -> io::Result<()> {
         let account = AccountOwner::of(Purpose::Partial);
-        let mut input = Buffer::new(INPUT_BYTES, self.context.memory.empty(account));
+        let mut input = Buffer::new(INPUT_BYTES, self.context.memory.empty_grant(account));
         let mut idle_at = clock::now() + self.context.limits.idle;
         let mut timers = AnswerTimers::default();
         loop {
--- a/src/net/pool/tests.rs
+++ b/src/net/pool/tests.rs
@@ -5,7 +5,7 @@
 use crate::broker::ClientRequest;
 use crate::clock;
 use crate::interface::{FillOptions, Node, RequestId};
-use crate::memory::{AccountLimits, PURPOSES, Plan, Purpose};
+use crate::memory::{LimitOverrides, PURPOSES, Plan, Purpose};
 use nix::time::{ClockId, clock_gettime};
 use std::io;
 use std::net::SocketAddr;
@@ -496,7 +496,7 @@
 /// nobody takes it for lost.
 #[test]
 fn an_answer_that_waits_for_memory_is_told_of() {
-    let mut limits = [AccountLimits::default(); PURPOSES];
+    let mut limits = [LimitOverrides::default(); PURPOSES];
     limits[Purpose::Unread as usize].cap = Some(10_000);
     let memory = Ledger::new(Plan::new(32_000_000, &limits, 1.0).unwrap(), 0);
     pooled_within(LIMITS, memory, |send, mut reported| async move {
--- a/src/signed/connection.rs
+++ b/src/signed/connection.rs
@@ -3,7 +3,7 @@
 use super::{Admitted, BUSY, Front, Rejection, WHOLE_HEAD, http};
 use crate::broker::{Answer, Caller, ClientRequest, Content, Input};
 use crate::clock;
-use crate::memory::{AccountOwner, Grant, Purpose, Refused};
+use crate::memory::{AccountOwner, Grant, MemoryRefusal, Purpose};
 use crate::net::{
     Buffer, ClientSocket, ConnectionSlot, DELIVERY_CHECK_INTERVAL, Delivery, INPUT, Output,
     PEER_CHECK_INTERVAL, SendState, linger, peer_has_closed, readable_within_window,
@@ -51,9 +51,9 @@
         let (reply, answers) = unbounded_channel();
         let number = front.numbers.get() + 1;
         front.numbers.set(number);
-        let input = Buffer::new(INPUT, front.memory.empty(AccountOwner::of(Purpose::Signed)));
-        let unread = AccountOwner { precious: true, ..AccountOwner::of(Purpose::Unread) };
-        let output = Output::new(front.memory.empty(unread));
+        let input = Buffer::new(INPUT, front.memory.empty_grant(AccountOwner::of(Purpose::Signed)));
+        let unread = AccountOwner { may_use_reserve: true, ..AccountOwner::of(Purpose::Unread) };
+        let output = Output::new(front.memory.empty_grant(unread));
         Connection {
             front,
             socket,
@@ -109,7 +109,7 @@
         let arrived = clock::now();
         // What was read of its head is held while it is served.
         let text = request.fields.iter().map(|(name, value)| name.len() + value.len() + FIELD).sum::<usize>();
-        let held = self.front.memory.ask(WHOLE_HEAD, text + 2 * request.target.len());
+        let held = self.front.memory.acquire(WHOLE_HEAD, text + 2 * request.target.len());
         let admitted = match &held {
             Ok(_) => self.front.admit(arrived, request).and_then(|ask| self.hold(ask, request.length)),
             Err(_) => Err(BUSY),
@@ -328,7 +328,7 @@
     fn hold(&self, mut ask: ClientRequest, body: usize) -> Admitted {
         let rules = self.front.classes.get(usize::from(ask.class.0));
         let held = ask.reserve_memory(&self.front.memory, rules.is_some_and(|c| c.uncacheable), body);
-        held.map_err(|Refused { .. }| BUSY).map(|()| ask)
+        held.map_err(|MemoryRefusal { .. }| BUSY).map(|()| ask)
     }
 
     fn answer(&mut self, answer: Answer, request: &http::Request, end: (&str, &str)) {
--- a/src/xds.rs
+++ b/src/xds.rs
@@ -349,7 +349,10 @@
     let stream = timeout_at(by, TcpStream::connect(server)).await.map_err(late)??;
     stream.set_nodelay(true)?;
     let buffer = || {
-        Buffer::new(OWN, memory.empty(AccountOwner { precious: true, ..AccountOwner::of(Purpose::Learned) }))
+        Buffer::new(
+            OWN,
+            memory.empty_grant(AccountOwner { may_use_reserve: true, ..AccountOwner::of(Purpose::Learned) }),
+        )
     };
     let (mut out, mut input) = (buffer(), buffer());
     let length = body.len();
