--- a/src/main.rs
+++ b/src/main.rs
@@ -5,7 +5,7 @@
 use onyxyoke::config::{self, Classes, Config, LoadedSettings};
 use onyxyoke::interface::Class;
 use onyxyoke::memory::{AccountOwner, Ledger, Purpose};
-use onyxyoke::net::{ListenerState, Live, admin, clients, coordinator, pool};
+use onyxyoke::net::{ListenerState, Reloadable, admin, clients, coordinator, pool};
 use onyxyoke::signed::keys::{KeyFile, Keys};
 use onyxyoke::state::{StateStore, StateWorker, Succession};
 use onyxyoke::turns::{self, TaskKind, track_polls};
@@ -104,8 +104,8 @@
 
 /// Where news comes from: what a reload may change.
 struct Feed {
-    discovery: Option<Rc<Live<(SocketAddr, f64)>>>,
-    coordinator: Option<Rc<Live<SocketAddr>>>,
+    discovery: Option<Rc<Reloadable<(SocketAddr, f64)>>>,
+    coordinator: Option<Rc<Reloadable<SocketAddr>>>,
     memory: Ledger,
     /// The digest of the settings in force.
     settings: Rc<Cell<u64>>,
@@ -159,15 +159,15 @@
 impl Fronts {
     /// Serves RESP clients.
     fn serve_clients(&mut self, name: &str, listener: TcpListener) -> std::io::Result<()> {
-        let front = clients::Front {
-            asks: self.asks.clone(),
+        let front = clients::ClientContext {
+            broker_inputs: self.asks.clone(),
             classes: self.classes.clone(),
             contracts: self.contracts.clone(),
             ready: self.ready.clone(),
-            connections: self.connections,
+            max_connections: self.connections,
             numbers: self.numbers.clone(),
             memory: self.memory.clone(),
-            wait: self.wait,
+            pushback: self.wait,
             metrics: self.metrics.clone(),
         };
         log!("{name} serves on {}", listener.local_addr()?);
@@ -341,8 +341,8 @@
     let (last, events) = config.initial_updates;
     take_known(&mut broker, events);
     let feed = Feed {
-        discovery: config.xds.map(|xds| Live::new((xds.server, xds.refresh))),
-        coordinator: config.coordinator.map(Live::new),
+        discovery: config.xds.map(|xds| Reloadable::new((xds.server, xds.refresh))),
+        coordinator: config.coordinator.map(Reloadable::new),
         memory: memory.clone(),
         settings,
     };
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -101,7 +101,7 @@
 
 /// The digest of a program's file, by which operators tell builds apart. It is read piece by piece: the whole of it
 /// would be more than a front may have.
-pub fn build(program: &std::path::Path) -> std::io::Result<u64> {
+pub fn program_digest(program: &std::path::Path) -> std::io::Result<u64> {
     let (mut file, mut piece) = (std::fs::File::open(program)?, vec![0; PIECE]);
     let mut digest = xxhash_rust::xxh3::Xxh3Default::new();
     loop {
@@ -172,7 +172,7 @@
     /// thread of its own.
     async fn version(&self) -> String {
         if self.build.get().is_none() {
-            let read = tokio::task::spawn_blocking(|| build("/proc/self/exe".as_ref())).await;
+            let read = tokio::task::spawn_blocking(|| program_digest("/proc/self/exe".as_ref())).await;
             match read.map_err(std::io::Error::other).and_then(|read| read) {
                 Ok(digest) => self.build.set(Some(digest)),
                 Err(e) => return format!("fail the program's file cannot be read: {e}\n"),
--- a/src/net/clients/session.rs
+++ b/src/net/clients/session.rs
@@ -1,11 +1,11 @@
 //! One client connection's requests and answers, without the socket.
 
-use super::{Front, request};
+use super::{ClientContext, request};
 use crate::broker::{Answer, Caller, Count, Input};
 use crate::interface::ClassId;
 use crate::memory::{AccountOwner, Purpose};
 use crate::net::resp::{self, Command, FrameError};
-use crate::net::{Buffer, Output, Unreadable};
+use crate::net::{Buffer, Output, ProtocolError};
 use rustc_hash::FxHashMap;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -29,7 +29,7 @@
 
 /// One connection's requests and answers, without the socket.
 pub(in crate::net) struct Session {
-    pub(super) front: Rc<Front>,
+    pub(super) front: Rc<ClientContext>,
     number: u64,
     /// The tags of what is open.
     pub(super) open: FxHashMap<u64, Taken>,
@@ -44,7 +44,7 @@
 }
 
 impl Session {
-    pub(in crate::net) fn new(front: Rc<Front>, reply: UnboundedSender<(u64, Answer)>) -> Self {
+    pub(in crate::net) fn new(front: Rc<ClientContext>, reply: UnboundedSender<(u64, Answer)>) -> Self {
         let number = front.numbers.get() + 1;
         front.numbers.set(number);
         let unread = front
@@ -75,7 +75,7 @@
     }
 
     /// Takes one whole frame off the buffer: `None` if there is none, else what the broker is to hear of it.
-    pub(in crate::net) fn take(
+    pub(in crate::net) fn process_frame(
         &mut self,
         now: f64,
         input: &mut Buffer,
@@ -107,7 +107,7 @@
             }
             // Two answers under one tag could not be told apart.
             Command::Request { tag, .. } if self.open.contains_key(&tag) => {
-                return Err(FrameError { why: Unreadable("a tag that is in use"), tag: None });
+                return Err(FrameError { why: ProtocolError("a tag that is in use"), tag: None });
             }
             Command::Request { tag, class, fields, body } => {
                 let front = &self.front;
@@ -129,7 +129,7 @@
                     }
                     Some(None) => {
                         front.metrics.count(class.unwrap_or_default(), Count::Busy);
-                        self.refuse(tag, self.front.wait);
+                        self.refuse(tag, self.front.pushback);
                         cost = refused;
                         None
                     }
@@ -170,7 +170,7 @@
         if let Some(class) = class {
             front.metrics.count(class, Count::Busy);
         }
-        self.refuse(tag, self.front.wait);
+        self.refuse(tag, self.front.pushback);
         self.credit.0 -= COSTS[1];
         self.spoken = true;
         Some(None)
--- a/src/net/coordinator/tests.rs
+++ b/src/net/coordinator/tests.rs
@@ -33,7 +33,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async move {
         let (news, heard) = unbounded_channel();
-        tokio::task::spawn_local(follow(Live::new(address), 3, 1, news, Ledger::unlimited()));
+        tokio::task::spawn_local(follow(Reloadable::new(address), 3, 1, news, Ledger::unlimited()));
         tokio::time::timeout(Duration::from_secs(30), test(heard))
             .await
             .expect("what the test waits for comes")
--- a/src/net/exchange/cancellation.rs
+++ b/src/net/exchange/cancellation.rs
@@ -69,7 +69,7 @@
     pub(super) fn encode(&mut self, mut position: u64, out: &mut Buffer) -> u64 {
         while let Some(cancel) = self.queued.pop_front() {
             let length_before = out.len();
-            if !lines::cancel(out, &cancel.call) {
+            if !lines::write_cancel(out, &cancel.call) {
                 self.queued.push_front(cancel);
                 break;
             }
--- a/src/net/exchange/incoming.rs
+++ b/src/net/exchange/incoming.rs
@@ -3,7 +3,7 @@
 use super::Progress;
 use super::in_flight::InFlightRequest;
 use crate::memory::{Grant, Ledger, Purpose};
-use crate::net::{Buffer, Unreadable, lines};
+use crate::net::{Buffer, ProtocolError, lines};
 use std::cell::Cell;
 use std::rc::Rc;
 
@@ -26,7 +26,7 @@
 }
 
 impl AnswerLayout {
-    pub(super) fn of(head: &lines::Head<'_>) -> Self {
+    pub(super) fn of(head: &lines::AnswerHead<'_>) -> Self {
         AnswerLayout { line: head.line, length: head.length, total: head.total() }
     }
 
@@ -41,10 +41,10 @@
     }
 
     /// Is all of it here, with its end where it should be?
-    pub(super) fn is_whole(&self, bytes: &[u8]) -> Result<bool, Unreadable> {
+    pub(super) fn is_whole(&self, bytes: &[u8]) -> Result<bool, ProtocolError> {
         let Some(answer) = bytes.get(..self.total) else { return Ok(false) };
         if self.length.is_some() && !answer.ends_with(TERMINATOR) {
-            return Err(Unreadable("bytes that do not end where they should"));
+            return Err(ProtocolError("bytes that do not end where they should"));
         }
         Ok(true)
     }
@@ -142,7 +142,7 @@
     }
 
     /// Takes the end of line behind discarded bytes; is nothing left to discard?
-    pub(super) fn finish_discarding(&mut self, buffer: &mut Buffer) -> Result<bool, Unreadable> {
+    pub(super) fn finish_discarding(&mut self, buffer: &mut Buffer) -> Result<bool, ProtocolError> {
         if !self.discarding {
             return Ok(true);
         }
@@ -150,7 +150,7 @@
             return Ok(false);
         }
         if !buffer.bytes().starts_with(TERMINATOR) {
-            return Err(Unreadable("bytes that do not end where they should"));
+            return Err(ProtocolError("bytes that do not end where they should"));
         }
         buffer.consume(TERMINATOR.len());
         self.discarding = false;
--- a/src/net/exchange/send.rs
+++ b/src/net/exchange/send.rs
@@ -47,7 +47,7 @@
             may_use_reserve: order.uncacheable,
         };
         out.set_room(|| self.memory.empty_grant(account));
-        lines::serve(out, order, patience_ms)
+        lines::write_serve(out, order, patience_ms)
     }
 
     /// The socket has taken what it would. The order whose first byte is among that is in flight, and one of which it took
--- a/src/net/model/memory.rs
+++ b/src/net/model/memory.rs
@@ -85,7 +85,7 @@
     let mut feed = |session: &mut Session, bytes: &[u8]| {
         assert!(input.push(bytes));
         let mut heard = Vec::new();
-        while let Some(one) = session.take(1000.0, &mut input).unwrap() {
+        while let Some(one) = session.process_frame(1000.0, &mut input).unwrap() {
             heard.extend(one);
         }
         (heard, input.skipping())
@@ -107,10 +107,11 @@
     let mut input = Buffer::new(4096, memory.empty_grant(AccountOwner::of(Purpose::Bodies)));
     let hold = write("2", "holds", 5_000);
     assert!(input.push(&hold[..300]));
-    assert!(matches!(session.take(1000.0, &mut input), Ok(None)), "granted, and waited for");
+    assert!(matches!(session.process_frame(1000.0, &mut input), Ok(None)), "granted, and waited for");
     assert!(memory.accounts().used(Purpose::Bodies) > 0);
     assert!(input.push(&hold[300..]));
-    let Ok(Some(Some(Input::Request { request: ask, .. }))) = session.take(1000.0, &mut input) else {
+    let Ok(Some(Some(Input::Request { request: ask, .. }))) = session.process_frame(1000.0, &mut input)
+    else {
         panic!("a hold has the reserve")
     };
     assert_eq!((ask.body.len(), memory.accounts().used(Purpose::Bodies)), (5_000, 5_000));
--- a/src/net/model/parsers.rs
+++ b/src/net/model/parsers.rs
@@ -13,7 +13,7 @@
 fn an_order_is_written_as_the_protocol_says() {
     let mut out = Buffer::default();
     let mut o = order(1, 7, 1001.2);
-    assert!(lines::serve(&mut out, &o, 1200));
+    assert!(lines::write_serve(&mut out, &o, 1200));
     let line = "serve 0000000000000007 sort=media,asset=00000000000000aa,slice=0,patience=1200,\
         src=s-00000002,keep=1,maxage=250,flags=revalidate 0\r\n\r\n";
     assert_eq!(o.request.client_etag, None, "an odd call");
@@ -25,7 +25,7 @@
     let (call, asset) = (o.request.call.clone(), o.request.asset.clone());
     o.request =
         ClientRequest { body, key, client_etag: have, call, asset, ..ClientRequest::default() }.into();
-    assert!(lines::serve(&mut out, &o, 5));
+    assert!(lines::write_serve(&mut out, &o, 5));
     let line = "serve 0000000000000007 sort=holds,asset=00000000000000aa,slice=0,patience=5,op=k1,\
         flags=merge+local,have=e1 4\r\na\r\nb\r\n";
     assert_eq!(std::str::from_utf8(out.bytes()), Ok(line));
--- a/src/signed/connection.rs
+++ b/src/signed/connection.rs
@@ -5,8 +5,8 @@
 use crate::clock;
 use crate::memory::{AccountOwner, Grant, MemoryRefusal, Purpose};
 use crate::net::{
-    Buffer, ClientSocket, ConnectionSlot, DELIVERY_CHECK_INTERVAL, Delivery, INPUT, Output,
-    PEER_CHECK_INTERVAL, SendState, linger, peer_has_closed, readable_within_window,
+    Buffer, ClientSocket, ConnectionSlot, DELIVERY_CHECK_INTERVAL, Delivery, Output, PEER_CHECK_INTERVAL,
+    READ_CHUNK_BYTES, SendState, linger, peer_has_closed, readable_within_window,
 };
 use http::Unusable;
 use std::io;
@@ -51,7 +51,8 @@
         let (reply, answers) = unbounded_channel();
         let number = front.numbers.get() + 1;
         front.numbers.set(number);
-        let input = Buffer::new(INPUT, front.memory.empty_grant(AccountOwner::of(Purpose::Signed)));
+        let input =
+            Buffer::new(READ_CHUNK_BYTES, front.memory.empty_grant(AccountOwner::of(Purpose::Signed)));
         let unread = AccountOwner { may_use_reserve: true, ..AccountOwner::of(Purpose::Unread) };
         let output = Output::new(front.memory.empty_grant(unread));
         Connection {
@@ -213,7 +214,7 @@
         let half_a_head = !self.input.is_empty();
         loop {
             let now = clock::now();
-            let unsent = self.slot.is_unsent();
+            let unsent = self.slot.is_send_blocked();
             if !half_a_head && unsent != was_unsent {
                 // An end is seen only by a client that took its answer: until then it has longer, and then a whole time.
                 by = if unsent { by + Duration::from_secs_f64(IDLE) } else { clock::instant(now + IDLE) };
@@ -297,7 +298,7 @@
         let input = Input::Request { caller, request: ask.into(), reply: self.reply.clone() };
         self.front.asks.send(input).await.map_err(ended)?;
         loop {
-            let reads = self.input.len() < INPUT;
+            let reads = self.input.len() < READ_CHUNK_BYTES;
             let left = tokio::select! {
                 biased;
                 Some((tag, answer)) = self.answers.recv() => {
--- a/src/xds.rs
+++ b/src/xds.rs
@@ -4,7 +4,7 @@
 use crate::broker::{DiscoveryUpdate, Member};
 use crate::interface::*;
 use crate::memory::{AccountOwner, Ledger, Purpose};
-use crate::net::{Buffer, Live};
+use crate::net::{Buffer, Reloadable};
 use crate::signed::http;
 use crate::{clock, log};
 use serde_json::{Map, Value, json};
@@ -247,7 +247,7 @@
 
 /// Polls a discovery server for ever.
 pub async fn follow(
-    server: Rc<Live<(SocketAddr, f64)>>,
+    server: Rc<Reloadable<(SocketAddr, f64)>>,
     node: String,
     names: Names,
     news: UnboundedSender<DiscoveryUpdate>,
