--- a/src/main.rs
+++ b/src/main.rs
@@ -315,12 +315,12 @@
         (cordons, succession) = (kept.cordons, Some(kept.succession));
     }
     drop(operators_in);
-    let limits = pool::Limits {
-        connect_within: config.connect_timeout,
-        idle: config.node_idle_timeout / 2.0,
-        streams: config.max_requests_per_connection,
-        connections: (config.max_descriptors / SHARE).max(1),
-        handshake: config.handshake_cost,
+    let limits = pool::PoolLimits {
+        connect_timeout: config.connect_timeout,
+        idle_timeout: config.node_idle_timeout / 2.0,
+        max_requests_per_connection: config.max_requests_per_connection,
+        max_connections: (config.max_descriptors / SHARE).max(1),
+        handshake_cost: config.handshake_cost,
     };
     spawn_local(track_polls(TaskKind::Pool, pool::run(commands, reports_in, limits, memory.clone())));
     spawn_local(track_polls(TaskKind::Memory, watch::memory(memory.clone())));
--- a/src/net/clients/connection.rs
+++ b/src/net/clients/connection.rs
@@ -100,7 +100,7 @@
             Ok(End::ByClient) => Ok(()),
             Err(Ended::ProtocolError(broken)) => {
                 self.close().await;
-                Err(io::Error::new(io::ErrorKind::InvalidData, broken.why.0))
+                Err(io::Error::new(io::ErrorKind::InvalidData, broken.error.0))
             }
             Err(Ended::Io(e)) => match e.kind() {
                 io::ErrorKind::ConnectionReset | io::ErrorKind::BrokenPipe => Ok(()),
@@ -135,7 +135,7 @@
             if self.reads_until.is_infinite() && self.slot.closes_behind_answers() {
                 self.reads_until = clock::now() + LAST_READS;
             }
-            let half_a_frame = !input.is_empty() || input.skipping() > 0;
+            let half_a_frame = !input.is_empty() || input.bytes_to_skip() > 0;
             let wait = self.plan(half_a_frame, &mut timers);
             let throttled_until = wait.throttled_until.unwrap_or(wait.now);
             let next_peer_check = wait.now + PEER_CHECK_INTERVAL;
@@ -207,7 +207,8 @@
         let unsent = output.len();
         // One that leaves much unread is not read from, and sooner while all do.
         let may_read = self.session.front.memory.may_read(unsent);
-        let held_back = unsent > UNSENT_MOST || output.crowded() || !may_read || self.reads_ended(now);
+        let held_back =
+            unsent > UNSENT_MOST || output.has_text_backlog() || !may_read || self.reads_ended(now);
         let writes = !output.is_empty();
         // What is still unread so long after it was due is of no use to its client any more; where memory is scarce,
         // it has no such time.
@@ -301,7 +302,7 @@
     async fn time_out(&self, wait: &Wait, timers: &mut Timers) -> Result<Option<End>, Ended> {
         let now = clock::now();
         if timers.whole_by.is_some_and(|by| now >= by) {
-            return Err(FrameError { why: ProtocolError("half a frame and no more"), tag: None }.into());
+            return Err(FrameError { error: ProtocolError("half a frame and no more"), tag: None }.into());
         }
         let untaken = timers.taken_by.is_some_and(|by| now >= by);
         if untaken || wait.writes && now >= wait.stalled_by {
--- a/src/net/clients/session.rs
+++ b/src/net/clients/session.rs
@@ -81,13 +81,13 @@
         input: &mut Buffer,
     ) -> Result<Option<Option<Input>>, FrameError> {
         // What is owed to a client that does not read must not outgrow the connection's own.
-        if self.reads_at(now) > now || self.output.crowded() {
+        if self.reads_at(now) > now || self.output.has_text_backlog() {
             return Ok(None);
         }
         let Some((command, used)) = resp::parse(input.bytes())? else {
             return Ok(self.refuse_announced(input));
         };
-        let mut say = |tag, word| resp::answer(&mut self.output, tag, word, "", None);
+        let mut say = |tag, word| resp::write_answer(&mut self.output, tag, word, "", None);
         let [mut cost, refused, unusable] = COSTS;
         let mut usable = true;
         let heard = match command {
@@ -107,7 +107,7 @@
             }
             // Two answers under one tag could not be told apart.
             Command::Request { tag, .. } if self.open.contains_key(&tag) => {
-                return Err(FrameError { why: ProtocolError("a tag that is in use"), tag: None });
+                return Err(FrameError { error: ProtocolError("a tag that is in use"), tag: None });
             }
             Command::Request { tag, class, fields, body } => {
                 let front = &self.front;
@@ -136,7 +136,7 @@
                     Some(Some(mut ask)) => {
                         let gone = ask.cancelled.clone();
                         self.open.insert(tag, Taken { due: ask.deadline, class: ask.class, gone });
-                        ask.unread_bytes = Some(self.output.reader());
+                        ask.unread_bytes = Some(self.output.unread_content());
                         Some(Input::Request {
                             caller: self.caller(tag),
                             request: ask.into(),
@@ -155,11 +155,11 @@
     /// A request whose body is still to come: there is memory for all of it, or it is refused now and its bytes are
     /// passed over as they come.
     fn refuse_announced(&mut self, input: &mut Buffer) -> Option<Option<Input>> {
-        let resp::Pending { tag, class, body, total } = resp::pending(input.bytes())?;
+        let resp::PartialRequest { tag, class, body, total } = resp::parse_partial_request(input.bytes())?;
         let front = &self.front;
         let class = front.classes.get(class);
         let may_use_reserve = class.is_some_and(|c| front.classes.uncacheable(c));
-        input.set_room(|| {
+        input.set_grant(|| {
             front.memory.empty_grant(AccountOwner { may_use_reserve, ..AccountOwner::of(Purpose::Bodies) })
         });
         let admitted = self.open.len() < OPEN_MOST && front.memory.admits(body, may_use_reserve);
@@ -188,10 +188,10 @@
     pub(in crate::net) fn fail_open(&mut self, tag: Option<u64>) {
         for (&tag, taken) in &self.open {
             self.front.metrics.count(taken.class, Count::Failure);
-            resp::answer(&mut self.output, tag, "fault", "", None);
+            resp::write_answer(&mut self.output, tag, "fault", "", None);
         }
         if let Some(tag) = tag.filter(|tag| !self.open.contains_key(tag)) {
-            resp::answer(&mut self.output, tag, "fault", "", None);
+            resp::write_answer(&mut self.output, tag, "fault", "", None);
         }
     }
 
@@ -200,14 +200,14 @@
         let Some(Taken { due, .. }) = self.open.remove(&tag) else { return };
         match answer {
             Answer::Served(content) if content.not_modified => {
-                resp::answer(&mut self.output, tag, "ok", "current=1", None);
+                resp::write_answer(&mut self.output, tag, "ok", "current=1", None);
             }
             Answer::Served(content) => {
-                resp::answer(&mut self.output, tag, "ok", "", Some((content.body, content.grant, due)));
+                resp::write_answer(&mut self.output, tag, "ok", "", Some((content.body, content.grant, due)));
             }
             Answer::Refused(wait) | Answer::OverBudget(wait) => self.refuse(tag, wait),
             Answer::Failed | Answer::DeadlineExceeded | Answer::Forbidden => {
-                resp::answer(&mut self.output, tag, "fault", "", None);
+                resp::write_answer(&mut self.output, tag, "fault", "", None);
             }
         }
     }
@@ -217,6 +217,6 @@
             true => format!("pushback={}", (wait * 1000.0).ceil()),
             false => String::new(),
         };
-        resp::answer(&mut self.output, tag, "full", &fields, None);
+        resp::write_answer(&mut self.output, tag, "full", &fields, None);
     }
 }
--- a/src/net/coordinator.rs
+++ b/src/net/coordinator.rs
@@ -86,9 +86,9 @@
     /// not close: the coordinator has forgotten what lay in it, and what it does have is taken.
     pub fn advance(&mut self, number: u64, frame: Frame) -> FrameAction {
         match frame {
-            Frame::Idle if number <= self.last_number || self.gap => FrameAction::Skip,
-            Frame::News(_) if number <= self.last_number => FrameAction::Skip,
-            Frame::News(news) if number == self.last_number + 1 || self.gap => {
+            Frame::Heartbeat if number <= self.last_number || self.gap => FrameAction::Skip,
+            Frame::Event(_) if number <= self.last_number => FrameAction::Skip,
+            Frame::Event(news) if number == self.last_number + 1 || self.gap => {
                 (self.last_number, self.gap) = (number, false);
                 FrameAction::Deliver(news)
             }
--- a/src/net/exchange/incoming.rs
+++ b/src/net/exchange/incoming.rs
@@ -118,7 +118,7 @@
         layout: AnswerLayout,
         buffer: &mut Buffer,
     ) -> Progress {
-        buffer.set_room(|| self.memory.empty_grant(request.account(Purpose::Partial)));
+        buffer.set_grant(|| self.memory.empty_grant(request.account(Purpose::Partial)));
         if buffer.reserve(layout.total - buffer.len()).is_err() {
             self.grant = None;
             return Progress::NeedsMemory;
@@ -146,7 +146,7 @@
         if !self.discarding {
             return Ok(true);
         }
-        if buffer.skipping() > 0 || buffer.len() < TERMINATOR.len() {
+        if buffer.bytes_to_skip() > 0 || buffer.len() < TERMINATOR.len() {
             return Ok(false);
         }
         if !buffer.bytes().starts_with(TERMINATOR) {
--- a/src/net/exchange/send.rs
+++ b/src/net/exchange/send.rs
@@ -46,7 +46,7 @@
             team: order.request.team,
             may_use_reserve: order.uncacheable,
         };
-        out.set_room(|| self.memory.empty_grant(account));
+        out.set_grant(|| self.memory.empty_grant(account));
         lines::write_serve(out, order, patience_ms)
     }
 
--- a/src/net/frames.rs
+++ b/src/net/frames.rs
@@ -14,9 +14,9 @@
 #[derive(Debug, PartialEq)]
 pub enum Frame {
     /// Nothing new; the number says how far the coordinator is.
-    Idle,
+    Heartbeat,
     /// An event.
-    News(DiscoveryUpdate),
+    Event(DiscoveryUpdate),
 }
 
 fn be(bytes: &[u8]) -> u64 {
@@ -38,21 +38,21 @@
     };
     let seconds = |at: &[u8]| be(at) as f64 / 1000.0;
     let frame = match kind {
-        0 => Frame::Idle,
+        0 => Frame::Heartbeat,
         1 | 2 => {
             whole(payload.len() / RECORD * RECORD)?;
             let members = payload.chunks_exact(RECORD).map(record).collect::<Result<_, _>>()?;
-            Frame::News(DiscoveryUpdate::NodeList { full: kind == 1, members })
+            Frame::Event(DiscoveryUpdate::NodeList { full: kind == 1, members })
         }
         3 => {
             whole(16)?;
             let (object, at) = (ObjectId(be(&payload[..8])), seconds(&payload[8..]));
-            Frame::News(DiscoveryUpdate::Purge { object: Some(object), group: GroupId(0), at })
+            Frame::Event(DiscoveryUpdate::Purge { object: Some(object), group: GroupId(0), at })
         }
         4 => {
             whole(10)?;
             let (group, at) = (GroupId(be(&payload[..2]) as u32), seconds(&payload[2..]));
-            Frame::News(DiscoveryUpdate::Purge { object: None, group, at })
+            Frame::Event(DiscoveryUpdate::Purge { object: None, group, at })
         }
         _ => return Err(ProtocolError("a frame of an unknown kind")),
     };
--- a/src/net/model/feed.rs
+++ b/src/net/model/feed.rs
@@ -18,10 +18,10 @@
         let mut taken = Vec::new();
         for (kind, size) in steps {
             let (number, frame) = match kind {
-                0 => (sent, Frame::Idle),
-                1 => (sent.saturating_sub(size), Frame::News(news())),
-                2 => (sent + 1 + size, Frame::News(news())),
-                _ => (sent + 1, Frame::News(news())),
+                0 => (sent, Frame::Heartbeat),
+                1 => (sent.saturating_sub(size), Frame::Event(news())),
+                2 => (sent + 1 + size, Frame::Event(news())),
+                _ => (sent + 1, Frame::Event(news())),
             };
             match feed.advance(number, frame) {
                 coordinator::FrameAction::Deliver(_) => taken.push(number),
@@ -30,7 +30,7 @@
                 coordinator::FrameAction::Reconnect => {
                     prop_assert!(feed.last_number == sent && number > sent, "a repeat is no gap");
                     prop_assert_eq!(
-                        feed.advance(sent + 1, Frame::News(news())),
+                        feed.advance(sent + 1, Frame::Event(news())),
                         coordinator::FrameAction::Deliver(news())
                     );
                     taken.push(sent + 1);
@@ -43,11 +43,11 @@
     });
     // A gap that stays will not close: what is there is taken.
     let mut feed = coordinator::FeedPosition::new(4);
-    assert_eq!(feed.advance(7, Frame::News(news())), coordinator::FrameAction::Reconnect);
-    assert_eq!(feed.advance(7, Frame::News(news())), coordinator::FrameAction::Deliver(news()));
+    assert_eq!(feed.advance(7, Frame::Event(news())), coordinator::FrameAction::Reconnect);
+    assert_eq!(feed.advance(7, Frame::Event(news())), coordinator::FrameAction::Deliver(news()));
     assert_eq!(feed.last_number, 7);
     assert_eq!(
-        feed.advance(9, Frame::Idle),
+        feed.advance(9, Frame::Heartbeat),
         coordinator::FrameAction::Reconnect,
         "the coordinator is further on"
     );
--- a/src/net/model/memory.rs
+++ b/src/net/model/memory.rs
@@ -88,7 +88,7 @@
         while let Some(one) = session.process_frame(1000.0, &mut input).unwrap() {
             heard.extend(one);
         }
-        (heard, input.skipping())
+        (heard, input.bytes_to_skip())
     };
     let write = |tag: &str, class: &str, n: usize| {
         let fields = format!("{},dedupe=k", GOOD.replace("9b1f", &format!("{:0>4}", tag)));
--- a/src/net/model/parsers.rs
+++ b/src/net/model/parsers.rs
@@ -52,7 +52,7 @@
         ] {
             prop_assert!(used.is_none_or(|n| n > 0 && n <= bytes.len()));
         }
-        if let Some(p) = resp::pending(&bytes) {
+        if let Some(p) = resp::parse_partial_request(&bytes) {
             prop_assert!(p.total > bytes.len() && p.total > p.body);
         }
         Ok(())
@@ -61,13 +61,16 @@
     for cut in 0..whole.len() {
         assert_eq!(resp::parse(&whole[..cut]), Ok(None));
         // Announced as soon as the length of its body is read, and not before.
-        let announced = resp::Pending { tag: 7, class: b"media", body: 0, total: whole.len() };
-        assert_eq!(resp::pending(&whole[..cut]), None, "four words carry no body");
+        let announced = resp::PartialRequest { tag: 7, class: b"media", body: 0, total: whole.len() };
+        assert_eq!(resp::parse_partial_request(&whole[..cut]), None, "four words carry no body");
         let with_body = [&b"*5"[..], &whole[2..whole.len() - 6], b"$0\r\n\r\n$0\r\n\r\n"].concat();
         let cut = cut.min(with_body.len() - 1);
         let there = cut >= with_body.len() - 2;
         let total = with_body.len();
-        assert_eq!(resp::pending(&with_body[..cut]), there.then_some(resp::Pending { total, ..announced }));
+        assert_eq!(
+            resp::parse_partial_request(&with_body[..cut]),
+            there.then_some(resp::PartialRequest { total, ..announced })
+        );
     }
     assert_eq!(resp::parse(whole).unwrap().unwrap().1, whole.len());
     assert!(resp::parse(b"*4\r\n$3\r\nREQ\r\n$99999\r\n").is_err(), "an oversized word");
@@ -88,7 +91,7 @@
     bytes.extend(1_764_576_000_123u64.to_be_bytes());
     let (number, frame, used) = frames::parse(&bytes).unwrap().unwrap();
     assert_eq!((number, used), (9, bytes.len()));
-    let Frame::News(DiscoveryUpdate::NodeList { full: false, members }) = frame else { panic!("{frame:?}") };
+    let Frame::Event(DiscoveryUpdate::NodeList { full: false, members }) = frame else { panic!("{frame:?}") };
     let (n, address) = (members[0].node, members[0].address);
     assert_eq!(address, "10.1.0.9:4100".parse().unwrap());
     assert_eq!(
@@ -98,5 +101,5 @@
     assert_eq!((n.weight, n.ready_at), (4.5, 1_764_576_000.123));
     let purge = [&[0, 0, 0, 19, 0, 0, 0, 0, 0, 0, 0, 10, 4, 0, 17][..], &1500u64.to_be_bytes()].concat();
     let wanted = DiscoveryUpdate::Purge { object: None, group: GroupId(17), at: 1.5 };
-    assert_eq!(frames::parse(&purge), Ok(Some((10, Frame::News(wanted), purge.len()))));
+    assert_eq!(frames::parse(&purge), Ok(Some((10, Frame::Event(wanted), purge.len()))));
 }
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -10,7 +10,7 @@
 use crate::interface::{NodeId, NodeState, Outcome};
 use crate::memory::Ledger;
 use connection::{ConnectionContext, ConnectionHandle};
-pub use limits::Limits;
+pub use limits::PoolLimits;
 use node_connections::NodeConnections;
 use rustc_hash::FxHashMap;
 use std::collections::VecDeque;
@@ -23,7 +23,7 @@
 pub async fn run(
     mut commands: UnboundedReceiver<Command>,
     reports: UnboundedSender<Report>,
-    limits: Limits,
+    limits: PoolLimits,
     memory: Ledger,
 ) {
     let (returned, mut returned_orders) = unbounded_channel();
@@ -127,8 +127,8 @@
         let address = connections.address().ok_or(Outcome::NotSent)?;
         let limits = self.context.limits;
         connections.forget_closed();
-        let least_loaded = connections.least_loaded(&order.request.call, limits.streams);
-        let may_open = connections.has_room() && total < limits.connections;
+        let least_loaded = connections.least_loaded(&order.request.call, limits.max_requests_per_connection);
+        let may_open = connections.has_room() && total < limits.max_connections;
         let crowded = least_loaded.is_none_or(|(_, load)| load >= limits.requests_per_connection());
         let overhead = (may_open && crowded).then(|| self.context.ask_overhead()).flatten();
         match (overhead, least_loaded) {
@@ -143,7 +143,7 @@
     fn total_with_room_for(&mut self, node: NodeId) -> usize {
         let total: usize = self.nodes.values_mut().map(NodeConnections::count_open).sum();
         let has_none = self.nodes.get(&node).is_some_and(NodeConnections::is_empty);
-        if total >= self.context.limits.connections && has_none && self.retire_idle(node) {
+        if total >= self.context.limits.max_connections && has_none && self.retire_idle(node) {
             return total - 1;
         }
         total
--- a/src/net/pool/connection.rs
+++ b/src/net/pool/connection.rs
@@ -4,7 +4,7 @@
 mod node_socket;
 mod serve;
 
-use super::Limits;
+use super::PoolLimits;
 use crate::broker::{AttemptId, Order, Report};
 use crate::interface::Outcome;
 use crate::memory::{AccountOwner, Grant, Ledger, Purpose};
@@ -33,7 +33,7 @@
 /// What every connection of a pool is given.
 #[derive(Clone)]
 pub(super) struct ConnectionContext {
-    pub(super) limits: Limits,
+    pub(super) limits: PoolLimits,
     /// To the broker.
     pub(super) reports: UnboundedSender<Report>,
     /// To the pool: orders that were not sent.
@@ -157,7 +157,7 @@
     /// Connects, by the site's deadline for that; orders that come meanwhile wait and can be taken back.
     async fn connect(&mut self) -> io::Result<TcpStream> {
         let began = clock::now();
-        let by = clock::instant(began + self.context.limits.connect_within);
+        let by = clock::instant(began + self.context.limits.connect_timeout);
         let connecting = timeout_at(by, TcpStream::connect(self.address));
         tokio::pin!(connecting);
         loop {
--- a/src/net/pool/tests.rs
+++ b/src/net/pool/tests.rs
@@ -13,8 +13,13 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-const LIMITS: Limits =
-    Limits { connect_within: 5.0, idle: 5.0, streams: 100, connections: 64, handshake: 0.08 };
+const LIMITS: PoolLimits = PoolLimits {
+    connect_timeout: 5.0,
+    idle_timeout: 5.0,
+    max_requests_per_connection: 100,
+    max_connections: 64,
+    handshake_cost: 0.08,
+};
 
 fn order(request: u32, body: usize) -> Order {
     let ask = ClientRequest {
@@ -51,7 +56,7 @@
 
 /// Runs a pool that a test commands, and what it reports.
 fn pooled<T, F: Future<Output = T>>(
-    limits: Limits,
+    limits: PoolLimits,
     test: impl FnOnce(UnboundedSender<Command>, UnboundedReceiver<Report>) -> F,
 ) -> T {
     pooled_within(limits, Ledger::unlimited(), test)
@@ -59,7 +64,7 @@
 
 /// The same with these accounts.
 fn pooled_within<T, F: Future<Output = T>>(
-    limits: Limits,
+    limits: PoolLimits,
     memory: Ledger,
     test: impl FnOnce(UnboundedSender<Command>, UnboundedReceiver<Report>) -> F,
 ) -> T {
@@ -108,8 +113,8 @@
 }
 
 /// Connections that a node that answers nothing has taken once it was sent so many requests at once.
-fn opened(handshake: f64, requests: u32) -> usize {
-    pooled(Limits { handshake, ..LIMITS }, |send, mut written| async move {
+fn opened(handshake_cost: f64, requests: u32) -> usize {
+    pooled(PoolLimits { handshake_cost, ..LIMITS }, |send, mut written| async move {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         send.send(at(listener.local_addr().unwrap())).unwrap();
         for request in 1..=requests {
--- a/src/net/resp.rs
+++ b/src/net/resp.rs
@@ -7,7 +7,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FrameError {
     /// What is wrong.
-    pub why: ProtocolError,
+    pub error: ProtocolError,
     /// The tag, which an answer can be given to.
     pub tag: Option<u64>,
 }
@@ -76,11 +76,11 @@
     let mut had = 0;
     match frame(bytes, &mut words, &mut had) {
         Ok(Some((count, used))) => match super::parse_u64(words[1]).filter(|_| count >= 2) {
-            None => Err(FrameError { why: ProtocolError("a frame without a tag"), tag: None }),
+            None => Err(FrameError { error: ProtocolError("a frame without a tag"), tag: None }),
             Some(tag) => Ok(Some((command(&words, count, tag), used))),
         },
         Ok(None) => Ok(None),
-        Err(why) => Err(FrameError { why, tag: super::parse_u64(words[1]).filter(|_| had >= 2) }),
+        Err(error) => Err(FrameError { error, tag: super::parse_u64(words[1]).filter(|_| had >= 2) }),
     }
 }
 
@@ -113,7 +113,7 @@
 
 /// A request whose body is not whole, as far as its words before the body say.
 #[derive(Debug, PartialEq)]
-pub struct Pending<'a> {
+pub struct PartialRequest<'a> {
     /// The tag of the answer.
     pub tag: u64,
     /// The class, in a word.
@@ -126,7 +126,7 @@
 
 /// Reads a request whose body has been announced and has not come whole; `None` if there is none such at the head
 /// of `bytes`. So a body can be refused, or granted, before its bytes are read.
-pub fn pending(bytes: &[u8]) -> Option<Pending<'_>> {
+pub fn parse_partial_request(bytes: &[u8]) -> Option<PartialRequest<'_>> {
     let (count, mut at) = header(bytes, b'*', WORDS).ok()??;
     let mut words: [&[u8]; 4] = [&[]; 4];
     for word in words.iter_mut().filter(|_| count == 5) {
@@ -137,7 +137,7 @@
     let (body, used) = header(bytes.get(at..)?, b'$', BULK).ok()??;
     let total = at + used + body + 2;
     let tag = super::parse_u64(words[1]).filter(|_| words[0] == b"REQ" && total > bytes.len())?;
-    Some(Pending { tag, class: words[2], body, total })
+    Some(PartialRequest { tag, class: words[2], body, total })
 }
 
 /// Most digits of a number.
@@ -157,7 +157,7 @@
 }
 
 /// Writes an answer: tag, word, fields, body with its memory and when it is due.
-pub fn answer(
+pub fn write_answer(
     out: &mut super::Output,
     tag: u64,
     word: &str,
