--- a/src/net/send_queue.rs
+++ b/src/net/send_queue.rs
@@ -1,4 +1,5 @@
-//! What became of the bytes that were written to a socket: whether this system has sent them, and the peer's has them.
+//! Tracking of the bytes that were written to a socket: whether this kernel has sent them, and the peer's has
+//! received them.
 
 use super::closing::ready_now;
 use super::tcp_info::TcpInfo;
@@ -11,84 +12,86 @@
 use tokio::io::Interest;
 use tokio::net::TcpStream;
 
-/// With this as its TCP_NOTSENT_LOWAT (tcp(7)) a socket is writable only once all that was written is sent (bytes).
-const ALL_SENT: u32 = 1;
-/// With this, a socket has the system's own bound.
-const SYSTEM_BOUND: u32 = 0;
-/// Beyond so many bytes since all was last seen to be sent, the system is asked without anybody's wish (bytes). It costs
-/// a call, which one short answer is not worth.
-const ASKED_BEYOND: usize = 4 * 1024;
-/// No event tells of an acknowledgement, or of a window that opens: they are looked for so often. A peer delays its
-/// acknowledgement by 40 ms.
+/// TCP_NOTSENT_LOWAT (tcp(7)) with which a socket is writable only once all written bytes are sent.
+const NOTSENT_LOWAT_ALL_SENT: u32 = 1;
+/// TCP_NOTSENT_LOWAT that restores the kernel's own bound.
+const NOTSENT_LOWAT_DEFAULT: u32 = 0;
+/// Number of unconfirmed bytes up to which [`SendQueue::is_known_unsent`] doesn't query the kernel: one short
+/// answer is not worth a system call.
+const MAX_UNQUERIED_BYTES: usize = 4 * 1024;
+/// Interval at which acknowledgements and the peer's window are polled, since no event reports them. A peer
+/// delays its acknowledgement by up to 40 ms.
 pub const DELIVERY_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What became of all that was written to a socket.
+/// The delivery state of all bytes that were written to a socket.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Delivery {
-    /// The peer's system has all of it, and room for an end of stream behind it.
+    /// The peer's kernel has all bytes, and room for an end of stream behind them.
     Delivered,
-    /// All of it is sent, and nothing says that it was dropped: its acknowledgement is on its way, or delayed.
+    /// All bytes are sent, and nothing indicates a drop: the acknowledgement is on its way or delayed.
     InFlight,
-    /// Some of it is not sent. The stream is not writable, and becomes writable once all is sent.
+    /// Some bytes are not sent. The stream is not writable until all are sent.
     Unsent,
-    /// All of it is sent, and the peer's system has no room for it, or for an end of stream behind it, or has not acknowledged
-    /// it in time. No event tells when that changes.
+    /// All bytes are sent, but the peer's kernel has no room for them or for an end of stream behind them, or
+    /// has not acknowledged them in time. No event reports a change of this state.
     Undelivered,
 }
 
 impl Delivery {
-    /// Would an end of stream be hidden from the peer, until it reads?
+    /// Returns whether an end of stream would not reach the peer until it reads.
     pub fn is_blocked(self) -> bool {
         matches!(self, Delivery::Unsent | Delivery::Undelivered)
     }
 }
 
-/// Follows what became of a socket's bytes, and asks the system only where that matters. TCP_NOTSENT_LOWAT, which has the
-/// system tell once all is sent, bounds writes too: it is set only while nothing is written.
+/// Tracks the delivery of a socket's written bytes, and queries the kernel only when necessary.
+/// TCP_NOTSENT_LOWAT, which makes the socket writable once all bytes are sent, also limits writes, so it is
+/// set only while nothing is written.
 #[derive(Debug)]
 pub(super) struct SendQueue {
-    /// Bytes written since all was seen to be sent.
+    /// Number of bytes written since all bytes were last found to be sent.
     unconfirmed: Cell<usize>,
-    /// What the system said when it was last asked, if nothing was written since.
+    /// Result of the last query, if nothing was written since.
     known: Cell<Option<Delivery>>,
-    /// When the system had last sent something, when it was last asked (Unix seconds).
+    /// When the kernel had last sent data, as of the last query (Unix seconds).
     sent_at: Cell<Option<f64>>,
-    /// The socket's writes are bounded, and it tells once all is sent.
-    bounded: Cell<bool>,
+    /// TCP_NOTSENT_LOWAT is [`NOTSENT_LOWAT_ALL_SENT`].
+    writable_once_sent: Cell<bool>,
 }
 
 impl Default for SendQueue {
-    /// For a socket to which nothing was written yet.
+    /// Creates the tracker of a socket to which nothing was written yet.
     fn default() -> Self {
         SendQueue {
             unconfirmed: Cell::default(),
             known: Cell::new(Some(Delivery::Delivered)),
             sent_at: Cell::default(),
-            bounded: Cell::default(),
+            writable_once_sent: Cell::default(),
         }
     }
 }
 
 impl SendQueue {
-    /// Lets the system take as much as usual. To be called before each write.
+    /// Restores the kernel's bound on unsent bytes. Must be called before each write.
     pub(super) fn prepare_write(&self, stream: &TcpStream) {
-        if self.bounded.take() {
-            let _ = SockRef::from(stream).set_tcp_notsent_lowat(SYSTEM_BOUND);
+        if self.writable_once_sent.take() {
+            let _ = SockRef::from(stream).set_tcp_notsent_lowat(NOTSENT_LOWAT_DEFAULT);
         }
     }
 
-    /// The system took so many bytes.
+    /// Records that the kernel accepted so many bytes.
     pub(super) fn record_write(&self, bytes: usize) {
         self.unconfirmed.set(self.unconfirmed.get() + bytes);
         self.known.set(None);
     }
 
-    /// What became of all that was written? Asks the system, unless all was found delivered before.
+    /// Returns the delivery state of all written bytes. Queries the kernel unless everything was found
+    /// delivered before.
     pub(super) fn delivery(&self, stream: &TcpStream) -> Delivery {
         if self.known.get() == Some(Delivery::Delivered) {
             return Delivery::Delivered;
         }
-        let delivery = self.ask(stream);
+        let delivery = self.query(stream);
         self.known.set(Some(delivery));
         if delivery != Delivery::Unsent {
             self.unconfirmed.set(0);
@@ -96,26 +99,28 @@
         delivery
     }
 
-    /// When the system last sent something, be it again, as [`SendQueue::delivery`] last found it (Unix seconds, to the system's
-    /// tick of 1 to 10 ms); `None` if it was not asked yet.
+    /// Returns when the kernel last sent or resent data, as of the last query by [`SendQueue::delivery`]
+    /// (Unix seconds, to the kernel's tick of 1 to 10 ms); `None` if there was no query yet.
     pub(super) fn sent_at(&self) -> Option<f64> {
         self.sent_at.get()
     }
 
-    /// Is all that was written sent, and none of it known to be without room at the peer? Asks the system. If it is not so,
-    /// [`SendQueue::delivery_changed`] waits for that.
-    pub(super) fn is_empty(&self, stream: &TcpStream) -> bool {
+    /// Returns whether all written bytes are sent and, as far as is known, the peer has room for them.
+    /// Queries the kernel. If it returns false, [`SendQueue::delivery_changed`] waits for a change.
+    pub(super) fn is_flushed(&self, stream: &TcpStream) -> bool {
         !self.delivery(stream).is_blocked()
     }
 
-    /// Is something known to be unsent, or without room at the peer? Asks the system only where it was found so before, or
-    /// much was written since: that nothing is known says little of a few bytes.
+    /// Returns whether written bytes are known to be unsent, or the peer to have no room. Queries the kernel
+    /// only if that was found before or many bytes were written since; so false says little about a few
+    /// bytes.
     pub(super) fn is_known_unsent(&self, stream: &TcpStream) -> bool {
         let was_blocked = self.known.get().is_some_and(Delivery::is_blocked);
-        (was_blocked || self.unconfirmed.get() > ASKED_BEYOND) && !self.is_empty(stream)
+        (was_blocked || self.unconfirmed.get() > MAX_UNQUERIED_BYTES) && !self.is_flushed(stream)
     }
 
-    /// Waits until what is not delivered yet may have been: by an event where that comes, else for a while.
+    /// Waits until the delivery state may have changed: for an event if there is one, else for
+    /// [`DELIVERY_CHECK_INTERVAL`].
     pub(super) async fn delivery_changed(&self, stream: &TcpStream) -> io::Result<()> {
         if self.known.get() == Some(Delivery::Unsent) {
             return stream.writable().await;
@@ -124,17 +129,18 @@
         Ok(())
     }
 
-    fn ask(&self, stream: &TcpStream) -> Delivery {
+    /// Queries the kernel for the delivery state.
+    fn query(&self, stream: &TcpStream) -> Delivery {
         let mut info = TcpInfo::of(stream);
-        // Where the system does not tell, a socket that is not writable does.
+        // Without TCP_INFO, a socket that is not writable indicates unsent bytes.
         if info.is_none_or(|info| info.has_unsent()) {
             if self.is_unwritable_until_sent(stream) {
                 return Delivery::Unsent;
             }
-            // It was sent since then.
+            // The bytes were sent in the meantime.
             info = TcpInfo::of(stream);
         }
-        // What is not known to be undelivered counts as delivered.
+        // Without TCP_INFO, sent bytes count as delivered.
         let Some(info) = info else { return Delivery::Delivered };
         self.sent_at.set(Some(clock::now() - info.since_last_sent().as_secs_f64()));
         if info.send_window() == 0 {
@@ -147,14 +153,15 @@
         }
     }
 
-    /// Has the system tell once all is sent; is there something unsent?
+    /// Makes the socket writable only once all bytes are sent. Returns whether some are unsent.
     fn is_unwritable_until_sent(&self, stream: &TcpStream) -> bool {
-        if !self.bounded.get() {
-            self.bounded.set(SockRef::from(stream).set_tcp_notsent_lowat(ALL_SENT).is_ok());
+        if !self.writable_once_sent.get() {
+            let result = SockRef::from(stream).set_tcp_notsent_lowat(NOTSENT_LOWAT_ALL_SENT);
+            self.writable_once_sent.set(result.is_ok());
         }
-        let waits = |e: io::Error| e.kind() == io::ErrorKind::WouldBlock;
+        let would_block = |error: io::Error| error.kind() == io::ErrorKind::WouldBlock;
         let writable = || ready_now(stream, PollFlags::POLLOUT);
-        stream.try_io(Interest::WRITABLE, writable).is_err_and(waits)
+        stream.try_io(Interest::WRITABLE, writable).is_err_and(would_block)
     }
 }
 
--- a/src/net/tcp_info.rs
+++ b/src/net/tcp_info.rs
@@ -1,4 +1,4 @@
-//! What the system knows of a TCP connection: TCP_INFO of tcp(7).
+//! The kernel's state of a TCP connection: TCP_INFO of tcp(7).
 
 use nix::libc;
 use nix::sys::socket::{getsockopt, sockopt::GetStruct};
@@ -6,13 +6,13 @@
 use std::sync::OnceLock;
 use std::time::Duration;
 
-/// The first Linux that fills all fields that are used here.
-const FIRST_RELEASE: [u32; 2] = [5, 4];
-/// Where the system tells its release.
+/// The first Linux release that fills all fields that are used here.
+const MIN_KERNEL_RELEASE: [u32; 2] = [5, 4];
+/// The file that holds the kernel's release.
 const RELEASE_FILE: &str = "/proc/sys/kernel/osrelease";
 
-/// The system's `struct tcp_info` up to the last field that is used here. `libc` declares the fields of the newest systems too,
-/// and an older one would not fill them all.
+/// The kernel's `struct tcp_info` up to the last field that is used here. The one in `libc` also has the
+/// fields of the newest kernels, which an older one would not fill.
 #[repr(C)]
 #[derive(Debug, Clone, Copy)]
 pub(super) struct TcpInfo {
@@ -37,51 +37,52 @@
     snd_wnd: u32,
 }
 
-/// The socket option that reads it.
+/// The socket option that reads [`TcpInfo`].
 #[derive(Debug, Clone, Copy)]
 struct TcpInfoOption;
 
 nix::getsockopt_impl!(TcpInfoOption, libc::IPPROTO_TCP, libc::TCP_INFO, TcpInfo, GetStruct<TcpInfo>);
 
 impl TcpInfo {
-    /// Asks the system about a connected socket; `None` where it does not tell.
+    /// Queries the kernel about a connected socket; `None` if it does not support that.
     pub(super) fn of(stream: &impl AsFd) -> Option<Self> {
-        // `GetStruct` panics where the system fills less.
-        is_told().then(|| getsockopt(stream, TcpInfoOption).ok()).flatten()
+        // `GetStruct` panics if the kernel fills fewer fields.
+        is_supported().then(|| getsockopt(stream, TcpInfoOption).ok()).flatten()
     }
 
-    /// How much of what was written still lies with this system (bytes).
+    /// Returns how many written bytes this kernel has not sent.
     pub(super) fn unsent_bytes(&self) -> u32 {
         self.notsent_bytes
     }
 
-    /// Does some of what was written still lie with this system?
+    /// Returns whether this kernel has unsent bytes.
     pub(super) fn has_unsent(&self) -> bool {
         self.notsent_bytes > 0
     }
 
-    /// Is something sent that the peer has not acknowledged?
+    /// Returns whether the peer has not acknowledged everything that was sent.
     pub(super) fn has_unacknowledged(&self) -> bool {
         self.unacked > 0
     }
 
-    /// How much the peer has room for, beside what it has acknowledged (bytes). An end of stream counts as one.
+    /// Returns how many bytes the peer has room for beyond those it has acknowledged. An end of stream counts
+    /// as one byte.
     pub(super) fn send_window(&self) -> u32 {
         self.snd_wnd
     }
 
-    /// Has the peer's system closed its window without acknowledging all that it had let in? That is how it tells that it had
-    /// no room and dropped some of it.
+    /// Returns whether the peer's kernel has closed its window without acknowledging everything that the
+    /// window had allowed, which indicates that it had no room and dropped some of it.
     pub(super) fn is_dropped(&self) -> bool {
         self.send_window() == 0 && self.has_unacknowledged()
     }
 
-    /// Does the system take what is unacknowledged for lost, or is it about to?
+    /// Returns whether the kernel considers unacknowledged data lost, or is about to.
     pub(super) fn is_overdue(&self) -> bool {
         self.retransmits > 0 || self.probes > 0 || self.since_last_sent() > self.retransmission_timeout()
     }
 
-    /// How long ago data was last sent, be it again, to the system's tick (1 to 10 ms).
+    /// Returns how long ago data was last sent or resent, to the kernel's tick (1 to 10 ms).
     pub(super) fn since_last_sent(&self) -> Duration {
         Duration::from_millis(self.last_data_sent_ms.into())
     }
@@ -91,17 +92,18 @@
     }
 }
 
-/// Does this system fill all fields that are used here?
-fn is_told() -> bool {
-    static IS_TOLD: OnceLock<bool> = OnceLock::new();
-    *IS_TOLD.get_or_init(|| std::fs::read_to_string(RELEASE_FILE).is_ok_and(|release| has_fields(&release)))
+/// Returns whether this kernel fills all fields that are used here.
+fn is_supported() -> bool {
+    static SUPPORTED: OnceLock<bool> = OnceLock::new();
+    *SUPPORTED
+        .get_or_init(|| std::fs::read_to_string(RELEASE_FILE).is_ok_and(|release| fills_fields(&release)))
 }
 
-/// Does Linux of this release fill them?
-fn has_fields(release: &str) -> bool {
+/// Returns whether Linux of this release fills all fields that are used here.
+fn fills_fields(release: &str) -> bool {
     let numbers: Vec<u32> =
         release.split(|c: char| !c.is_ascii_digit()).map_while(|part| part.parse().ok()).collect();
-    numbers.as_slice() >= FIRST_RELEASE.as_slice()
+    numbers.as_slice() >= MIN_KERNEL_RELEASE.as_slice()
 }
 
 #[cfg(test)]
