--- a/src/net/buffer.rs
+++ b/src/net/buffer.rs
@@ -1,5 +1,5 @@
-//! What a connection holds: bytes that come ([`Buffer`]) and bytes that are to go ([`Output`]). Both take what they
-//! need beyond their connection's own from an account, before they use it.
+//! Input and output buffers of a connection ([`Buffer`], [`Output`]). Memory beyond a connection's own share
+//! is acquired from an account before it is used.
 
 use super::ClientSocket;
 use crate::memory::{Grant, MemoryRefusal};
@@ -10,13 +10,14 @@
 use std::rc::Rc;
 use tokio::net::TcpStream;
 
-/// Up to here a buffer grows by doubling, beyond in steps (bytes).
-const DOUBLED: usize = 64 * 1024;
-const STEP: usize = 16 * 1024;
+/// Up to this size a buffer grows by doubling, beyond it in steps of [`GROWTH_STEP_BYTES`].
+const MAX_DOUBLING_BYTES: usize = 64 * 1024;
+/// Step by which a large buffer grows.
+const GROWTH_STEP_BYTES: usize = 16 * 1024;
 
-/// How much a socket took of a write; `None` if it takes nothing just now.
-fn taken(written: io::Result<usize>) -> io::Result<Option<usize>> {
-    match written {
+/// Converts the result of a write to the number of bytes that the socket accepted; `None` if it would block.
+fn accepted_bytes(result: io::Result<usize>) -> io::Result<Option<usize>> {
+    match result {
         Ok(0) => Err(io::ErrorKind::WriteZero.into()),
         Ok(n) => Ok(Some(n)),
         Err(e) if e.kind() == io::ErrorKind::WouldBlock => Ok(None),
@@ -24,90 +25,94 @@
     }
 }
 
-/// Bytes in order: appended at the tail, taken from the head; one allocation, compacted in place. The first
-/// `keep` bytes are the connection's own, what lies beyond is granted by an account, and given back as soon as
-/// the buffer is empty: most connections wait most of the time, and are many.
+/// A byte queue: appended to at the tail, consumed from the head, in one allocation that is compacted in
+/// place. The first `own_bytes` of capacity are the connection's own. Capacity beyond that is covered by a
+/// grant and released as soon as the buffer is empty, since connections are many and most of them are idle
+/// most of the time.
 pub struct Buffer {
     data: Vec<u8>,
+    /// Index of the first byte that is not consumed.
     head: usize,
-    taken: u64,
-    keep: usize,
-    room: Grant,
-    skip: usize,
+    /// Number of bytes consumed since the buffer was created.
+    consumed: u64,
+    own_bytes: usize,
+    grant: Grant,
+    /// Number of bytes that are discarded when they arrive.
+    bytes_to_skip: usize,
 }
 
 impl Buffer {
-    /// An empty buffer; `room` is granted nothing yet and grows by what exceeds `keep`.
-    pub fn new(keep: usize, room: Grant) -> Self {
-        Buffer { data: Vec::new(), head: 0, taken: 0, keep, room, skip: 0 }
+    /// Creates an empty buffer. `grant` is empty and grows by the capacity beyond `own_bytes`.
+    pub fn new(own_bytes: usize, grant: Grant) -> Self {
+        Buffer { data: Vec::new(), head: 0, consumed: 0, own_bytes, grant, bytes_to_skip: 0 }
     }
 
-    /// Another account, or holder, is asked from now on; not while the one before has granted something.
-    pub fn set_grant(&mut self, room: impl FnOnce() -> Grant) {
-        if self.room.bytes() == 0 {
-            self.room = room();
+    /// Charges another account from now on, unless the current grant is in use.
+    pub fn set_grant(&mut self, grant: impl FnOnce() -> Grant) {
+        if self.grant.bytes() == 0 {
+            self.grant = grant();
         }
     }
 
-    /// What is held.
+    /// Returns the bytes that are not consumed.
     pub fn bytes(&self) -> &[u8] {
         &self.data[self.head..]
     }
 
-    /// How much is held.
+    /// Returns the number of bytes that are not consumed.
     pub fn len(&self) -> usize {
         self.data.len() - self.head
     }
 
-    /// Is nothing held?
+    /// Returns whether all bytes are consumed.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// How many bytes were ever taken from the head.
-    pub fn taken(&self) -> u64 {
-        self.taken
+    /// Returns the number of bytes consumed since the buffer was created.
+    pub fn consumed(&self) -> u64 {
+        self.consumed
     }
 
-    /// Takes `n` bytes from the head.
+    /// Consumes `n` bytes from the head.
     pub fn consume(&mut self, n: usize) {
         let n = n.min(self.len());
         self.head += n;
-        self.taken += n as u64;
-        self.tidy();
+        self.consumed += n as u64;
+        self.release_if_empty();
     }
 
-    /// Takes back the last `n` bytes that were appended, as if they had never been.
+    /// Removes the last `n` bytes that were appended, without counting them as consumed.
     pub fn retract(&mut self, n: usize) {
         self.data.truncate(self.data.len() - n.min(self.len()));
-        self.tidy();
+        self.release_if_empty();
     }
 
-    /// Once nothing is held, what was granted beyond the connection's own goes back.
-    fn tidy(&mut self) {
+    /// Releases the granted memory if the buffer is empty.
+    fn release_if_empty(&mut self) {
         if self.is_empty() {
             self.data.clear();
             self.head = 0;
-            if self.data.capacity() > self.keep || self.room.should_release_buffers() {
+            if self.data.capacity() > self.own_bytes || self.grant.should_release_buffers() {
                 self.data = Vec::new();
-                self.room.shrink(usize::MAX);
+                self.grant.shrink(usize::MAX);
             }
         }
     }
 
-    /// Takes `n` bytes from the head, also those that are still to come. None of these costs memory.
+    /// Consumes `n` bytes from the head, including bytes that have not arrived, which need no memory.
     pub fn skip(&mut self, n: usize) {
         let here = n.min(self.len());
         self.consume(here);
-        self.skip += n - here;
+        self.bytes_to_skip += n - here;
     }
 
-    /// How many bytes that are still to come will be passed over.
+    /// Returns how many bytes are discarded when they arrive.
     pub fn bytes_to_skip(&self) -> usize {
-        self.skip
+        self.bytes_to_skip
     }
 
-    /// Makes room for `wanted` bytes after those that are held: moves these to the front, and grows.
+    /// Reserves space for `wanted` bytes at the tail: moves the content to the front, and grows if necessary.
     pub fn reserve(&mut self, wanted: usize) -> Result<(), MemoryRefusal> {
         if self.data.capacity() - self.data.len() >= wanted {
             return Ok(());
@@ -120,17 +125,17 @@
         let needed = self.data.len() + wanted;
         if needed > self.data.capacity() {
             let size = match needed {
-                n if n <= self.keep => self.keep,
-                n if n <= DOUBLED => n.next_power_of_two(),
-                n => n.next_multiple_of(STEP),
+                n if n <= self.own_bytes => self.own_bytes,
+                n if n <= MAX_DOUBLING_BYTES => n.next_power_of_two(),
+                n => n.next_multiple_of(GROWTH_STEP_BYTES),
             };
-            self.room.resize(size - self.keep.min(size))?;
+            self.grant.resize(size - self.own_bytes.min(size))?;
             self.data.reserve_exact(size - self.data.len());
         }
         Ok(())
     }
 
-    /// Appends, if there is memory for it; nothing is appended else.
+    /// Appends `bytes` and returns true, or appends nothing and returns false if there is no memory.
     #[must_use]
     pub fn push(&mut self, bytes: &[u8]) -> bool {
         let fits = self.reserve(bytes.len()).is_ok();
@@ -140,156 +145,167 @@
         fits
     }
 
-    /// Reads once without waiting; `Ok(0)` is the end of the stream. Where a full buffer may not grow, the error
+    /// Reads once without blocking; `Ok(0)` is the end of the stream. If a full buffer cannot grow, the error
     /// is [`io::ErrorKind::OutOfMemory`] and nothing is read.
     pub fn read_from(&mut self, stream: &TcpStream) -> io::Result<usize> {
         if self.data.capacity() == self.data.len() {
-            let more = if self.head > 0 { 1 } else { self.data.len().max(self.keep) };
+            let more = if self.head > 0 { 1 } else { self.data.len().max(self.own_bytes) };
             self.reserve(more).map_err(|_| io::ErrorKind::OutOfMemory)?;
         }
         let n = stream.try_read_buf(&mut self.data)?;
-        self.pass_over();
+        self.discard_skipped();
         Ok(n)
     }
 
-    /// Drops what has come of the bytes that are to be skipped.
-    fn pass_over(&mut self) {
-        let passed = self.skip.min(self.len());
-        self.skip -= passed;
-        self.consume(passed);
+    /// Discards the bytes to skip that have arrived.
+    fn discard_skipped(&mut self) {
+        let skipped = self.bytes_to_skip.min(self.len());
+        self.bytes_to_skip -= skipped;
+        self.consume(skipped);
     }
 
-    /// What a read from a socket would bring, piece by piece.
+    /// Appends `bytes` in pieces, as reads from a socket would.
     #[cfg(test)]
-    pub fn arrive(&mut self, bytes: &[u8]) {
+    pub fn push_as_read(&mut self, bytes: &[u8]) {
         for piece in bytes.chunks(100) {
             assert!(self.push(piece));
-            self.pass_over();
+            self.discard_skipped();
         }
     }
 
-    /// Writes what the socket takes without waiting.
+    /// Writes as much as the socket accepts without blocking. Returns the number of bytes written.
     pub fn write_to(&mut self, stream: &TcpStream) -> io::Result<usize> {
-        let mut sent = 0;
+        let mut written = 0;
         while !self.is_empty() {
-            let Some(n) = taken(stream.try_write(self.bytes()))? else { break };
+            let Some(n) = accepted_bytes(stream.try_write(self.bytes()))? else { break };
             self.consume(n);
-            sent += n;
+            written += n;
         }
-        Ok(sent)
+        Ok(written)
     }
 }
 
-/// One buffer's length of text beside the bodies: what a connection has room for as its own. It takes in no more
-/// requests while half of it is unsent; the rest is for what its open ones are answered with.
+/// Memory that a client connection owns for unwritten text, which is everything but bodies. No further
+/// requests are read while more than half of it is unwritten; the rest is for the answers to open requests.
 pub const OUTPUT_TEXT_BYTES: usize = 8 * 1024;
-/// Pieces that are written with one call.
-const PIECES: usize = 16;
+/// Upper bound on the segments that are written with one system call.
+const MAX_SEGMENTS_PER_WRITE: usize = 16;
 
-struct Part {
+/// A run of text, or (a part of) a body.
+struct Segment {
     data: Vec<u8>,
-    left: Range<usize>,
-    /// What a body is held by, and when it is due in Unix seconds; text is the connection's own.
+    /// The bytes of `data` that are not consumed.
+    unwritten: Range<usize>,
+    /// The grant of a body and its deadline (Unix seconds); `None` for text, whose memory is the connection's
+    /// own.
     body: Option<(Grant, f64)>,
 }
 
-/// Answers on their way to a client: text that is the connection's own, and between it bodies, each with the
-/// grant that it came with, so that none is copied and all is back as it is sent.
+/// Answers to a client that are not written yet: text in the connection's own memory, interleaved with
+/// bodies. A body is not copied, and its grant is released once it is written.
 #[derive(Default)]
 pub struct Output {
-    parts: VecDeque<Part>,
+    segments: VecDeque<Segment>,
+    /// Number of unwritten bytes.
     len: usize,
-    text: usize,
+    /// Number of unwritten bytes of text.
+    text_len: usize,
+    /// Allocation of a consumed text segment, for reuse.
     spare: Vec<u8>,
-    unread: Grant,
-    reader: Rc<Cell<usize>>,
+    /// Account in which unwritten text is shown.
+    text_grant: Grant,
+    /// Number of bytes granted for this client's answers and not written.
+    unread_content: Rc<Cell<usize>>,
 }
 
 impl Output {
-    /// An empty output; `unread` is the account that unsent text is shown in.
-    pub fn new(unread: Grant) -> Self {
-        Output { unread, ..Output::default() }
+    /// Creates an empty output. `text_grant` belongs to the account in which unwritten text is shown.
+    pub fn new(text_grant: Grant) -> Self {
+        Output { text_grant, ..Output::default() }
     }
 
-    /// Bytes that are unsent.
+    /// Returns the number of unwritten bytes.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Is nothing held here? The system may still hold what it took ([`super::SendState::all_sent`]).
+    /// Returns whether everything is written. The kernel may still hold written bytes
+    /// ([`super::SendState::delivery`]).
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Is so much text unsent that nothing more is to be taken in?
+    /// Returns whether so much text is unwritten that no further requests are to be read.
     pub fn has_text_backlog(&self) -> bool {
-        self.text > OUTPUT_TEXT_BYTES / 2
+        self.text_len > OUTPUT_TEXT_BYTES / 2
     }
 
     /// Appends text.
     pub fn push(&mut self, bytes: &[u8]) {
-        if self.parts.back().is_none_or(|p| p.body.is_some()) {
+        if self.segments.back().is_none_or(|segment| segment.body.is_some()) {
             let data = std::mem::take(&mut self.spare);
-            self.parts.push_back(Part { data, left: 0..0, body: None });
+            self.segments.push_back(Segment { data, unwritten: 0..0, body: None });
         }
-        if let Some(part) = self.parts.back_mut() {
-            part.data.extend_from_slice(bytes);
-            part.left.end = part.data.len();
-            (self.len, self.text) = (self.len + bytes.len(), self.text + bytes.len());
+        if let Some(segment) = self.segments.back_mut() {
+            segment.data.extend_from_slice(bytes);
+            segment.unwritten.end = segment.data.len();
+            (self.len, self.text_len) = (self.len + bytes.len(), self.text_len + bytes.len());
         }
     }
 
-    /// What is granted for this client's answers and not sent, for whoever decides whether it is to be given more.
+    /// Returns the shared counter of bytes that are granted for this client's answers and not written. It
+    /// decides whether the client gets further content.
     pub fn unread_content(&self) -> Rc<Cell<usize>> {
-        self.reader.clone()
+        self.unread_content.clone()
     }
 
-    /// When the body that is being sent is due.
+    /// Returns the deadline of the body that is being written (Unix seconds).
     pub fn due(&self) -> Option<f64> {
-        self.parts.iter().take(2).find_map(|p| p.body.as_ref()).map(|b| b.1)
+        self.segments.iter().take(2).find_map(|segment| segment.body.as_ref()).map(|(_, due)| *due)
     }
 
-    /// Appends a part of a body, which keeps its grant until it is sent.
-    pub fn push_body(&mut self, data: Vec<u8>, left: Range<usize>, grant: Grant, due: f64) {
-        if !left.is_empty() {
-            self.len += left.len();
-            self.parts.push_back(Part { data, left, body: Some((grant, due)) });
+    /// Appends the range `unwritten` of a body, which keeps its grant until it is written.
+    pub fn push_body(&mut self, data: Vec<u8>, unwritten: Range<usize>, grant: Grant, due: f64) {
+        if !unwritten.is_empty() {
+            self.len += unwritten.len();
+            self.segments.push_back(Segment { data, unwritten, body: Some((grant, due)) });
         }
     }
 
-    /// Writes what the socket takes without waiting.
+    /// Writes as much as the socket accepts without blocking. Returns the number of bytes written.
     pub fn write_to(&mut self, socket: &ClientSocket) -> io::Result<usize> {
-        let mut sent = 0;
+        let mut written = 0;
         while !self.is_empty() {
-            let mut pieces = [IoSlice::new(&[]); PIECES];
-            let count = self.parts.len().min(PIECES);
-            for (piece, part) in pieces.iter_mut().zip(&self.parts) {
-                *piece = IoSlice::new(&part.data[part.left.clone()]);
+            let mut slices = [IoSlice::new(&[]); MAX_SEGMENTS_PER_WRITE];
+            let count = self.segments.len().min(MAX_SEGMENTS_PER_WRITE);
+            for (slice, segment) in slices.iter_mut().zip(&self.segments) {
+                *slice = IoSlice::new(&segment.data[segment.unwritten.clone()]);
             }
-            let Some(n) = taken(socket.try_write_vectored(&pieces[..count]))? else { break };
+            let Some(n) = accepted_bytes(socket.try_write_vectored(&slices[..count]))? else { break };
             self.consume(n);
-            sent += n;
+            written += n;
         }
-        // Shown, not asked: the connection has paid for it. A refusal leaves the sum as it was.
-        let _ = self.unread.resize(self.text);
-        Ok(sent)
+        // This only shows the unwritten text in the account, since the connection owns its memory. A refusal
+        // leaves the sum unchanged.
+        let _ = self.text_grant.resize(self.text_len);
+        Ok(written)
     }
 
-    /// Takes `n` bytes from the head.
+    /// Consumes `n` bytes from the head.
     pub fn consume(&mut self, mut n: usize) {
         while n > 0
-            && let Some(part) = self.parts.front_mut()
+            && let Some(segment) = self.segments.front_mut()
         {
-            let here = n.min(part.left.len());
-            part.left.start += here;
+            let here = n.min(segment.unwritten.len());
+            segment.unwritten.start += here;
             (n, self.len) = (n - here, self.len - here);
-            if part.body.is_none() {
-                self.text -= here;
+            if segment.body.is_none() {
+                self.text_len -= here;
             }
-            if !part.left.is_empty() {
+            if !segment.unwritten.is_empty() {
                 return;
             }
-            if let Some(Part { mut data, body: None, .. }) = self.parts.pop_front()
+            if let Some(Segment { mut data, body: None, .. }) = self.segments.pop_front()
                 && data.capacity() <= OUTPUT_TEXT_BYTES
             {
                 data.clear();
@@ -298,16 +314,16 @@
         }
     }
 
-    /// All that is unsent, in one piece.
+    /// Returns all unwritten bytes in one piece.
     #[cfg(test)]
     pub fn bytes(&self) -> Vec<u8> {
-        self.parts.iter().flat_map(|p| &p.data[p.left.clone()]).copied().collect()
+        self.segments.iter().flat_map(|segment| &segment.data[segment.unwritten.clone()]).copied().collect()
     }
 }
 
 #[cfg(test)]
 impl Default for Buffer {
-    /// A buffer outside of a front, which nothing limits.
+    /// Creates a buffer without a memory limit.
     fn default() -> Self {
         use crate::memory::{AccountOwner, Ledger, Purpose};
         Buffer::new(4096, Ledger::unlimited().empty_grant(AccountOwner::of(Purpose::Caches)))
--- a/src/net/buffer/tests.rs
+++ b/src/net/buffer/tests.rs
@@ -8,28 +8,32 @@
     Ledger::new(Plan { total: 10 * cap, limits, team_share: 1.0 }, 0)
 }
 
-/// A buffer never holds more than its own and what it was granted, and gives that back when it is empty.
+/// A buffer never uses more than its own memory and its grant, and releases the grant when it is empty.
 #[test]
-fn a_buffer_asks_before_it_grows_and_gives_back_when_empty() {
+fn a_buffer_acquires_memory_before_it_grows_and_releases_it_when_empty() {
     let ledger = ledger(20_000);
-    let mut b = Buffer::new(1000, ledger.empty_grant(AccountOwner::of(Purpose::Partial)));
-    assert!(b.push(&[1; 1000]) && ledger.accounts().used(Purpose::Partial) == 0, "its own");
-    assert!(b.push(&[2; 7000]));
+    let mut buffer = Buffer::new(1000, ledger.empty_grant(AccountOwner::of(Purpose::Partial)));
+    assert!(buffer.push(&[1; 1000]) && ledger.accounts().used(Purpose::Partial) == 0, "its own memory");
+    assert!(buffer.push(&[2; 7000]));
     assert_eq!(ledger.accounts().used(Purpose::Partial), 8192 - 1000);
-    assert!(!b.push(&[3; 30_000]), "over the cap");
-    assert_eq!((b.len(), b.bytes()[999], b.bytes()[1000]), (8000, 1, 2), "and nothing was appended");
-    b.consume(7999);
-    assert!(b.push(&[4; 5000]), "compacted in place");
+    assert!(!buffer.push(&[3; 30_000]), "over the cap");
+    assert_eq!(
+        (buffer.len(), buffer.bytes()[999], buffer.bytes()[1000]),
+        (8000, 1, 2),
+        "nothing was appended"
+    );
+    buffer.consume(7999);
+    assert!(buffer.push(&[4; 5000]), "compacted in place");
     assert_eq!(ledger.accounts().used(Purpose::Partial), 8192 - 1000);
-    b.consume(usize::MAX);
+    buffer.consume(usize::MAX);
     assert_eq!(ledger.accounts().sum(), 0);
-    b.skip(7);
-    assert_eq!((b.bytes_to_skip(), b.data.capacity()), (7, 0), "what is passed over costs nothing");
+    buffer.skip(7);
+    assert_eq!((buffer.bytes_to_skip(), buffer.data.capacity()), (7, 0), "skipped bytes need no memory");
 }
 
-/// Bodies keep their grants until their last byte is sent, and text stands between them in order.
+/// A body keeps its grant until its last byte is consumed, and text and bodies keep their order.
 #[test]
-fn an_output_gives_bodies_back_as_they_are_sent() {
+fn an_output_releases_the_grants_of_bodies_as_they_are_consumed() {
     let ledger = ledger(20_000);
     let mut out = Output::new(ledger.empty_grant(AccountOwner::of(Purpose::Unread)));
     let body = |n: usize| (vec![b'b'; n], ledger.acquire(AccountOwner::of(Purpose::Unread), n).unwrap());
@@ -47,7 +51,7 @@
     out.consume(1);
     assert_eq!(ledger.accounts().used(Purpose::Unread), 4);
     out.consume(7);
-    assert!(out.is_empty() && out.text == 0 && ledger.accounts().sum() == 0);
+    assert!(out.is_empty() && out.text_len == 0 && ledger.accounts().sum() == 0);
     (0..OUTPUT_TEXT_BYTES / 2).for_each(|_| out.push(b"x"));
     assert!(!out.has_text_backlog());
     out.push(b"x");
--- a/src/net/exchange/in_flight.rs
+++ b/src/net/exchange/in_flight.rs
@@ -1,4 +1,4 @@
-//! The requests in flight on a connection, and the names that a late answer may still carry.
+//! The requests in flight on a connection, and the call ids that a late answer may still carry.
 
 use crate::broker::{AttemptId, Order};
 use crate::memory::{AccountOwner, Purpose};
@@ -7,25 +7,25 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-/// With so many withdrawn requests a connection is given no new ones.
+/// After so many withdrawn requests, a connection accepts no new ones.
 const MAX_WITHDRAWN: usize = 512;
-/// Calls that were answered here lately and are remembered, since a second copy of an answer may follow.
+/// How many answered calls are remembered, since a second copy of an answer may follow.
 const RECENTLY_ANSWERED_CAPACITY: usize = 64;
 
-/// A request that was written and is to be answered.
+/// A request that was written and not answered.
 pub(super) struct InFlightRequest {
     pub(super) attempt_id: AttemptId,
     /// When its first byte was written (Unix seconds).
     pub(super) written_at: f64,
-    /// A copy made before is too old (Unix seconds).
-    pub(super) oldest: f64,
-    /// It runs anew each time, and what it gives is no copy.
+    /// Earliest creation time of an acceptable copy (Unix seconds).
+    pub(super) min_created_at: f64,
+    /// The request is executed each time, and its result is never cached.
     pub(super) uncacheable: bool,
-    /// The client holds a copy, so that its tag alone may be answered.
+    /// The client holds a copy, so that the node may answer that this copy is valid.
     pub(super) client_has_copy: bool,
-    /// Whose request it is, for the accounts.
+    /// The team whose memory account is charged.
     pub(super) team: Option<u16>,
-    /// What its client has left unread (bytes).
+    /// Number of bytes of answers that the client has not read yet.
     pub(super) client_unread: Option<Rc<Cell<usize>>>,
 }
 
@@ -34,7 +34,7 @@
         InFlightRequest {
             attempt_id: order.attempt_id,
             written_at,
-            oldest: order.min_created_at,
+            min_created_at: order.min_created_at,
             uncacheable: order.uncacheable,
             client_has_copy: order.request.client_etag.is_some(),
             team: order.request.team,
@@ -42,13 +42,13 @@
         }
     }
 
-    /// The account that holds memory for its answer.
+    /// Returns the account that is charged for its answer.
     pub(super) fn account(&self, purpose: Purpose) -> AccountOwner {
         AccountOwner { purpose, team: self.team, may_use_reserve: self.uncacheable }
     }
 }
 
-/// Requests in flight by their call, with the calls that were withdrawn or answered.
+/// Requests in flight by call id, and the call ids that were withdrawn or answered.
 #[derive(Default)]
 pub(super) struct InFlightTable {
     requests: FxHashMap<Box<str>, InFlightRequest>,
@@ -57,17 +57,18 @@
 }
 
 impl InFlightTable {
-    /// How many requests are in flight.
+    /// Returns the number of requests in flight.
     pub(super) fn len(&self) -> usize {
         self.requests.len()
     }
 
-    /// Were too many requests withdrawn here to take a new one?
+    /// Returns whether too many requests were withdrawn to accept a new one.
     pub(super) fn is_exhausted(&self) -> bool {
         self.withdrawn.len() >= MAX_WITHDRAWN
     }
 
-    /// Could an answer to this call be taken for no earlier one's?
+    /// Returns whether a request with this call id can be accepted: no answer to an earlier one may be
+    /// mistaken for its own.
     pub(super) fn accepts(&self, call: &str) -> bool {
         !self.is_exhausted()
             && !self.requests.contains_key(call)
@@ -75,17 +76,18 @@
             && self.recently_answered.iter().all(|answered| &**answered != call)
     }
 
-    /// The request in flight under this call.
+    /// Returns the request in flight under this call id.
     pub(super) fn get(&self, call: &str) -> Option<&InFlightRequest> {
         self.requests.get(call)
     }
 
-    /// The first byte of this order was written.
+    /// Adds an order whose first byte was written.
     pub(super) fn insert(&mut self, order: &Order, now: f64) {
         self.requests.insert(order.request.call.clone(), InFlightRequest::new(order, now));
     }
 
-    /// Takes out what is answered; a second copy of the answer may follow under its name.
+    /// Removes a request that is answered, and remembers its call id, since a second copy of the answer may
+    /// follow.
     pub(super) fn take_answered(&mut self, call: &str) -> Option<InFlightRequest> {
         let (call, request) = self.requests.remove_entry(call)?;
         if self.recently_answered.len() >= RECENTLY_ANSWERED_CAPACITY {
@@ -95,7 +97,7 @@
         Some(request)
     }
 
-    /// Takes out what is cancelled; its answer may still come.
+    /// Removes a request that is cancelled, and remembers its call id, since its answer may still arrive.
     pub(super) fn withdraw(&mut self, attempt_id: AttemptId) -> Option<(Box<str>, InFlightRequest)> {
         let (call, _) = self.requests.iter().find(|(_, request)| request.attempt_id == attempt_id)?;
         let call = call.clone();
@@ -104,7 +106,7 @@
         Some((call, request))
     }
 
-    /// Takes out all that is in flight.
+    /// Removes all requests in flight and returns their attempt ids.
     pub(super) fn drain(&mut self) -> impl Iterator<Item = AttemptId> {
         self.requests.drain().map(|(_, request)| request.attempt_id)
     }
--- a/src/net/exchange/incoming.rs
+++ b/src/net/exchange/incoming.rs
@@ -1,4 +1,4 @@
-//! The answer at the head of the input: its memory, and the bytes that are discarded as they come.
+//! The answer at the head of the input: its memory, and the discarding of bytes as they arrive.
 
 use super::Progress;
 use super::in_flight::InFlightRequest;
@@ -7,97 +7,101 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// An answer without content is waited for whole up to this length; of a longer one only the line is read.
+/// An answer without content is buffered whole up to this length; of a longer one only the line is used and
+/// the rest is discarded.
 const MAX_BUFFERED_WITHOUT_CONTENT_BYTES: usize = 4096;
-/// A client that has left so much unread is given no more.
+/// A client with more unread bytes than this gets no further content.
 const CLIENT_UNREAD_LIMIT_BYTES: usize = 512 * 1024;
-/// What stands behind an answer's bytes.
+/// The end of line behind an answer's body.
 const TERMINATOR: &[u8] = b"\r\n";
 
-/// Where the parts of an answer stand, from its first byte.
+/// Lengths of an answer and its parts.
 #[derive(Clone, Copy)]
 pub(super) struct AnswerLayout {
-    /// Bytes of the line.
+    /// Length of the line (bytes).
     line: usize,
-    /// Bytes that follow, without the end of line behind them; `None` where nothing follows.
+    /// Length of the body without the end of line behind it (bytes); `None` if the answer has no body.
     length: Option<usize>,
-    /// Bytes of the whole answer.
+    /// Length of the whole answer (bytes).
     pub(super) total: usize,
 }
 
 impl AnswerLayout {
+    /// Returns the layout that an answer's line announces.
     pub(super) fn of(head: &lines::AnswerHead<'_>) -> Self {
         AnswerLayout { line: head.line, length: head.length, total: head.total() }
     }
 
-    /// Do bytes follow the line?
+    /// Returns whether the body has any bytes.
     pub(super) fn has_body(&self) -> bool {
         self.length.is_some_and(|length| length > 0)
     }
 
-    /// Is it waited for whole though it has no content?
+    /// Returns whether the answer is short enough to be buffered whole although its content is not used.
     pub(super) fn is_buffered_without_content(&self) -> bool {
         self.total <= MAX_BUFFERED_WITHOUT_CONTENT_BYTES
     }
 
-    /// Is all of it here, with its end where it should be?
-    pub(super) fn is_whole(&self, bytes: &[u8]) -> Result<bool, ProtocolError> {
+    /// Returns whether `bytes` hold the whole answer; an error if its body does not end with an end of line.
+    pub(super) fn is_complete(&self, bytes: &[u8]) -> Result<bool, ProtocolError> {
         let Some(answer) = bytes.get(..self.total) else { return Ok(false) };
         if self.length.is_some() && !answer.ends_with(TERMINATOR) {
-            return Err(ProtocolError("bytes that do not end where they should"));
+            return Err(ProtocolError("answer body does not end with CR LF"));
         }
         Ok(true)
     }
 
-    /// The bytes that follow the line.
+    /// Returns the body.
     pub(super) fn body<'a>(&self, bytes: &'a [u8]) -> &'a [u8] {
         &bytes[self.line..self.line + self.length.unwrap_or(0)]
     }
 }
 
-/// Whether content may be read.
+/// The decision whether the content of an answer is read.
 pub(super) enum Admission {
-    /// There is memory for it until its client has it.
+    /// The memory is granted, until the content is sent to the client.
     Granted,
-    /// There is none now.
+    /// There is not enough memory now.
     NoMemory,
-    /// Its client does not read what it has.
+    /// The client does not read the answers it was sent before.
     SlowClient,
 }
 
-/// What is known of the answer at the head of the input.
+/// The state of the answer at the head of the input.
 pub(super) struct IncomingAnswer {
     memory: Ledger,
-    /// Memory for its content, granted before its bytes are read.
+    /// Memory for its content, granted before the content is read.
     grant: Option<Grant>,
-    /// Bytes that nobody waits for are discarded; behind them the end of their line is due.
+    /// A body is being discarded; the end of line behind it is still expected.
     discarding: bool,
-    /// Part of something is here that belongs to nobody, or of which that cannot be told yet.
+    /// The input ends in the middle of an answer that no request waits for, as far as is known.
     unowned: bool,
 }
 
 impl IncomingAnswer {
+    /// Creates the state of an empty input.
     pub(super) fn new(memory: Ledger) -> Self {
         IncomingAnswer { memory, grant: None, discarding: false, unowned: false }
     }
 
-    /// Is the input in the middle of bytes that are nobody's, as far as can be told?
+    /// Returns whether the input ends in the middle of an answer that no request waits for, as far as is
+    /// known.
     pub(super) fn is_unowned(&self) -> bool {
         self.unowned
     }
 
-    /// Is there memory for the content that is coming?
+    /// Returns whether the memory for the content is granted.
     pub(super) fn is_granted(&self) -> bool {
         self.grant.is_some()
     }
 
-    /// Asks for memory for the content of an answer to this request.
+    /// Requests memory for the content of an answer to this request.
     pub(super) fn admit(&mut self, request: &InFlightRequest, layout: AnswerLayout) -> Admission {
-        // A client that does not read what it has is given no more; that holds up nobody else.
-        let reads = |unread: &Rc<Cell<usize>>| {
+        // Refusing a client that does not read its answers holds up no other request.
+        let reads_answers = |unread: &Rc<Cell<usize>>| {
             unread.get() <= CLIENT_UNREAD_LIMIT_BYTES && self.memory.may_read(unread.get())
         };
-        if !request.uncacheable && !request.client_unread.as_ref().is_none_or(reads) {
+        if !request.uncacheable && !request.client_unread.as_ref().is_none_or(reads_answers) {
             return Admission::SlowClient;
         }
         let content = layout.line + layout.length.unwrap_or(0);
@@ -111,7 +115,8 @@
         Admission::Granted
     }
 
-    /// Makes room in the buffer for the rest of an admitted answer, whose memory goes back if there is none.
+    /// Reserves buffer space for the rest of an admitted answer; releases the answer's grant if there is
+    /// none.
     pub(super) fn reserve_rest(
         &mut self,
         request: &InFlightRequest,
@@ -126,12 +131,12 @@
         Progress::NeedsBytes
     }
 
-    /// Takes the memory that was granted for the content.
+    /// Removes and returns the grant for the content.
     pub(super) fn take_grant(&mut self) -> Grant {
         self.grant.take().unwrap_or_default()
     }
 
-    /// Takes an answer's line off the buffer, and what follows it as it comes. Its memory goes back.
+    /// Discards an answer: its line at once, and its body as it arrives. Releases its grant.
     pub(super) fn discard(&mut self, buffer: &mut Buffer, layout: AnswerLayout) {
         self.grant = None;
         buffer.consume(layout.line);
@@ -141,7 +146,7 @@
         }
     }
 
-    /// Takes the end of line behind discarded bytes; is nothing left to discard?
+    /// Consumes the end of line behind a discarded body. Returns whether nothing is left to discard.
     pub(super) fn finish_discarding(&mut self, buffer: &mut Buffer) -> Result<bool, ProtocolError> {
         if !self.discarding {
             return Ok(true);
@@ -150,17 +155,18 @@
             return Ok(false);
         }
         if !buffer.bytes().starts_with(TERMINATOR) {
-            return Err(ProtocolError("bytes that do not end where they should"));
+            return Err(ProtocolError("answer body does not end with CR LF"));
         }
         buffer.consume(TERMINATOR.len());
         self.discarding = false;
         Ok(true)
     }
 
-    /// Notes whose the bytes at the head of the input are; is an answer here in part?
-    pub(super) fn note_partial(&mut self, buffer: &Buffer) -> bool {
-        let partial = self.discarding || !buffer.is_empty();
-        self.unowned = partial && self.grant.is_none();
-        partial
+    /// Updates whether a request waits for the bytes at the head of the input. Returns whether an answer has
+    /// been received in part.
+    pub(super) fn update_partial(&mut self, buffer: &Buffer) -> bool {
+        let is_partial = self.discarding || !buffer.is_empty();
+        self.unowned = is_partial && self.grant.is_none();
+        is_partial
     }
 }
--- a/src/net/model.rs
+++ b/src/net/model.rs
@@ -1,5 +1,5 @@
-//! Models of the connections' states, against which random steps are checked. Fixed seed, no sockets, no
-//! clock but the test's.
+//! Property tests of the connection states against models, with random steps from a fixed seed, no sockets,
+//! and the test's own clock.
 
 mod exchange;
 mod feed;
@@ -13,30 +13,28 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use std::rc::Rc;
 
+/// Runs a property test with a fixed seed.
 fn check<S: Strategy>(cases: u32, strategy: S, test: impl Fn(S::Value) -> Result<(), TestCaseError>) {
     let config = Config { cases, failure_persistence: None, ..Config::default() };
     let mut runner = TestRunner::new_with_rng(config, TestRng::deterministic_rng(RngAlgorithm::ChaCha));
     runner.run(&strategy, test).unwrap_or_else(|e| panic!("{e}"));
 }
 
-/// The first attempt of a request.
+/// Returns the id of a request's first attempt.
 fn attempt_id(request: u32) -> AttemptId {
     AttemptId { request: RequestId(request), attempt: 0 }
 }
 
+/// Returns an order for a request with this call id and deadline (Unix seconds).
 fn order(request: u32, call: u8, due: f64) -> Order {
-    // Clients of even calls hold a copy.
-    let have = call.is_multiple_of(2).then(|| "e0".into());
+    // Clients of even calls have a copy.
+    let client_etag = call.is_multiple_of(2).then(|| "e0".into());
     let asset = "00000000000000aa".into();
-    let ask = ClientRequest {
-        call: format!("{call:016x}").into(),
-        asset,
-        client_etag: have,
-        ..ClientRequest::default()
-    };
+    let client_request =
+        ClientRequest { call: format!("{call:016x}").into(), asset, client_etag, ..ClientRequest::default() };
     Order {
         attempt_id: attempt_id(request),
-        request: ask.into(),
+        request: client_request.into(),
         class: "media".into(),
         node: NodeId(1),
         source: Some(NodeId(2)),
--- a/src/net/model/feed.rs
+++ b/src/net/model/feed.rs
@@ -1,4 +1,4 @@
-//! The coordinator's feed.
+//! Property test of the coordinator's feed.
 
 use super::check;
 use crate::broker::DiscoveryUpdate;
@@ -8,47 +8,47 @@
 use proptest::collection::vec;
 use proptest::prelude::*;
 
-/// Guards against a purge or a drain that is never heard of, or heard twice: whatever the connections do,
-/// each event is handed on once and in order, and only what the coordinator has forgotten is passed over.
+/// Whatever frames the connections bring, each event (such as a purge or a drain) is delivered once and in
+/// order, except for those that the coordinator no longer has.
 #[test]
-fn the_feed_hands_on_each_event_once() {
-    let news = || DiscoveryUpdate::Purge { object: None, group: GroupId(0), at: 0.0 };
+fn the_feed_delivers_each_event_once() {
+    let event = || DiscoveryUpdate::Purge { object: None, group: GroupId(0), at: 0.0 };
     check(400, vec((0u8..4, 1u64..6), 1..80), |steps| {
         let (mut feed, mut sent) = (coordinator::FeedPosition::new(0), 0u64);
-        let mut taken = Vec::new();
+        let mut delivered = Vec::new();
         for (kind, size) in steps {
             let (number, frame) = match kind {
                 0 => (sent, Frame::Heartbeat),
-                1 => (sent.saturating_sub(size), Frame::Event(news())),
-                2 => (sent + 1 + size, Frame::Event(news())),
-                _ => (sent + 1, Frame::Event(news())),
+                1 => (sent.saturating_sub(size), Frame::Event(event())),
+                2 => (sent + 1 + size, Frame::Event(event())),
+                _ => (sent + 1, Frame::Event(event())),
             };
             match feed.advance(number, frame) {
-                coordinator::FrameAction::Deliver(_) => taken.push(number),
+                coordinator::FrameAction::Deliver(_) => delivered.push(number),
                 coordinator::FrameAction::Skip => prop_assert!(number <= feed.last_number),
-                // A lost frame: the next session begins after the last one had, and brings it.
+                // A frame was lost: the next session starts after the last event received, and brings it.
                 coordinator::FrameAction::Reconnect => {
                     prop_assert!(feed.last_number == sent && number > sent, "a repeat is no gap");
                     prop_assert_eq!(
-                        feed.advance(sent + 1, Frame::Event(news())),
-                        coordinator::FrameAction::Deliver(news())
+                        feed.advance(sent + 1, Frame::Event(event())),
+                        coordinator::FrameAction::Deliver(event())
                     );
-                    taken.push(sent + 1);
+                    delivered.push(sent + 1);
                 }
             }
             sent = feed.last_number;
         }
-        prop_assert!(taken.windows(2).all(|w| w[0] + 1 == w[1]), "{:?}", taken);
+        prop_assert!(delivered.windows(2).all(|pair| pair[0] + 1 == pair[1]), "{:?}", delivered);
         Ok(())
     });
-    // A gap that stays will not close: what is there is taken.
+    // A gap that is still there after a reconnect is accepted: the coordinator no longer has those events.
     let mut feed = coordinator::FeedPosition::new(4);
-    assert_eq!(feed.advance(7, Frame::Event(news())), coordinator::FrameAction::Reconnect);
-    assert_eq!(feed.advance(7, Frame::Event(news())), coordinator::FrameAction::Deliver(news()));
+    assert_eq!(feed.advance(7, Frame::Event(event())), coordinator::FrameAction::Reconnect);
+    assert_eq!(feed.advance(7, Frame::Event(event())), coordinator::FrameAction::Deliver(event()));
     assert_eq!(feed.last_number, 7);
     assert_eq!(
         feed.advance(9, Frame::Heartbeat),
         coordinator::FrameAction::Reconnect,
-        "the coordinator is further on"
+        "the coordinator is ahead"
     );
 }
--- a/src/net/model/parsers.rs
+++ b/src/net/model/parsers.rs
@@ -1,4 +1,4 @@
-//! The parsers and the byte forms of the three protocols.
+//! Tests of the parsers and encodings of the three protocols.
 
 use super::{check, order};
 use crate::broker::{ClientRequest, DiscoveryUpdate};
@@ -8,32 +8,32 @@
 use proptest::collection::vec;
 use proptest::prelude::*;
 
-/// The byte form of an order, which cache nodes check word by word.
+/// Cache nodes check the encoding of an order word by word.
 #[test]
-fn an_order_is_written_as_the_protocol_says() {
+fn an_order_is_encoded_as_the_protocol_says() {
     let mut out = Buffer::default();
-    let mut o = order(1, 7, 1001.2);
-    assert!(lines::write_serve(&mut out, &o, 1200));
+    let mut order = order(1, 7, 1001.2);
+    assert!(lines::write_serve(&mut out, &order, 1200));
     let line = "serve 0000000000000007 sort=media,asset=00000000000000aa,slice=0,patience=1200,\
         src=s-00000002,keep=1,maxage=250,flags=revalidate 0\r\n\r\n";
-    assert_eq!(o.request.client_etag, None, "an odd call");
+    assert_eq!(order.request.client_etag, None, "an odd call");
     assert_eq!(std::str::from_utf8(out.bytes()), Ok(line));
     out.consume(line.len());
-    o.options = FillOptions { join: true, only_if_cached: true, ..FillOptions::default() };
-    (o.source, o.rank, o.age, o.class) = (None, 0, 0.0, "holds".into());
-    let (body, key, have) = (b"a\r\nb".to_vec(), Some("k1".into()), Some("e1".into()));
-    let (call, asset) = (o.request.call.clone(), o.request.asset.clone());
-    o.request =
-        ClientRequest { body, key, client_etag: have, call, asset, ..ClientRequest::default() }.into();
-    assert!(lines::write_serve(&mut out, &o, 5));
+    order.options = FillOptions { join: true, only_if_cached: true, ..FillOptions::default() };
+    (order.source, order.rank, order.age, order.class) = (None, 0, 0.0, "holds".into());
+    let (body, key, client_etag) = (b"a\r\nb".to_vec(), Some("k1".into()), Some("e1".into()));
+    let (call, asset) = (order.request.call.clone(), order.request.asset.clone());
+    order.request = ClientRequest { body, key, client_etag, call, asset, ..ClientRequest::default() }.into();
+    assert!(lines::write_serve(&mut out, &order, 5));
     let line = "serve 0000000000000007 sort=holds,asset=00000000000000aa,slice=0,patience=5,op=k1,\
         flags=merge+local,have=e1 4\r\na\r\nb\r\n";
     assert_eq!(std::str::from_utf8(out.bytes()), Ok(line));
 }
 
-/// Whatever bytes come, parsers neither panic nor take more than there is, and a cut frame is no frame.
+/// For any input, parsers neither panic nor consume more bytes than there are, and an incomplete frame is not
+/// parsed.
 #[test]
-fn parsers_bear_any_bytes() {
+fn parsers_handle_arbitrary_bytes() {
     let bytes = prop_oneof![
         vec(any::<u8>(), 0..200),
         "\\*[0-9]{1,3}\r\n(\\$[0-9]{1,2}\r\n[A-Z0-9 =,]{0,9}\r\n){0,5}".prop_map(String::into_bytes),
@@ -52,24 +52,24 @@
         ] {
             prop_assert!(used.is_none_or(|n| n > 0 && n <= bytes.len()));
         }
-        if let Some(p) = resp::parse_partial_request(&bytes) {
-            prop_assert!(p.total > bytes.len() && p.total > p.body);
+        if let Some(request) = resp::parse_partial_request(&bytes) {
+            prop_assert!(request.total > bytes.len() && request.total > request.body);
         }
         Ok(())
     });
     let whole = b"*4\r\n$3\r\nREQ\r\n$1\r\n7\r\n$5\r\nmedia\r\n$0\r\n\r\n";
     for cut in 0..whole.len() {
         assert_eq!(resp::parse(&whole[..cut]), Ok(None));
-        // Announced as soon as the length of its body is read, and not before.
+        // A body is announced as soon as its length is complete, and not before.
         let announced = resp::PartialRequest { tag: 7, class: b"media", body: 0, total: whole.len() };
         assert_eq!(resp::parse_partial_request(&whole[..cut]), None, "four words carry no body");
         let with_body = [&b"*5"[..], &whole[2..whole.len() - 6], b"$0\r\n\r\n$0\r\n\r\n"].concat();
         let cut = cut.min(with_body.len() - 1);
-        let there = cut >= with_body.len() - 2;
+        let is_announced = cut >= with_body.len() - 2;
         let total = with_body.len();
         assert_eq!(
             resp::parse_partial_request(&with_body[..cut]),
-            there.then_some(resp::PartialRequest { total, ..announced })
+            is_announced.then_some(resp::PartialRequest { total, ..announced })
         );
     }
     assert_eq!(resp::parse(whole).unwrap().unwrap().1, whole.len());
@@ -77,14 +77,14 @@
     assert!(frames::parse(&[1, 0, 0, 0]).is_err(), "an oversized frame");
     assert!(lines::parse(&[b'x'; 5000]).is_err(), "an overlong line");
     assert!(lines::parse(b"7 HIT - 999999999\r\n").is_err(), "an oversized body");
-    for spoilt in ["HIT etag=e,made=1", "NONE - 0 0", "VALID etag=e,made=1 2", "HIT - -1"] {
-        let line = format!("7 {spoilt}\r\n\r\n\r\n");
-        assert!(lines::parse(line.as_bytes()).is_err(), "{spoilt}");
+    for invalid in ["HIT etag=e,made=1", "NONE - 0 0", "VALID etag=e,made=1 2", "HIT - -1"] {
+        let line = format!("7 {invalid}\r\n\r\n\r\n");
+        assert!(lines::parse(line.as_bytes()).is_err(), "{invalid}");
     }
 }
 
 #[test]
-fn frames_are_read_as_the_protocol_says() {
+fn frames_are_parsed_as_the_protocol_says() {
     let mut bytes = vec![0, 0, 0, 36, 0, 0, 0, 0, 0, 0, 0, 9, 2];
     bytes.extend([0, 0xc4, 0x1f, 0x7a, 10, 1, 0, 9, 0x10, 0x04, 1, 3, 2, 0, 5]);
     bytes.extend(4500u32.to_be_bytes());
@@ -92,14 +92,14 @@
     let (number, frame, used) = frames::parse(&bytes).unwrap().unwrap();
     assert_eq!((number, used), (9, bytes.len()));
     let Frame::Event(DiscoveryUpdate::NodeList { full: false, members }) = frame else { panic!("{frame:?}") };
-    let (n, address) = (members[0].node, members[0].address);
+    let (node, address) = (members[0].node, members[0].address);
     assert_eq!(address, "10.1.0.9:4100".parse().unwrap());
     assert_eq!(
-        (n.id, n.state, n.zone, n.kind, n.cell),
+        (node.id, node.state, node.zone, node.kind, node.cell),
         (NodeId(0xc41f7a), NodeState::Draining, ZoneId(3), 2, 5)
     );
-    assert_eq!((n.weight, n.ready_at), (4.5, 1_764_576_000.123));
+    assert_eq!((node.weight, node.ready_at), (4.5, 1_764_576_000.123));
     let purge = [&[0, 0, 0, 19, 0, 0, 0, 0, 0, 0, 0, 10, 4, 0, 17][..], &1500u64.to_be_bytes()].concat();
-    let wanted = DiscoveryUpdate::Purge { object: None, group: GroupId(17), at: 1.5 };
-    assert_eq!(frames::parse(&purge), Ok(Some((10, Frame::Event(wanted), purge.len()))));
+    let expected = DiscoveryUpdate::Purge { object: None, group: GroupId(17), at: 1.5 };
+    assert_eq!(frames::parse(&purge), Ok(Some((10, Frame::Event(expected), purge.len()))));
 }
--- a/src/net/model/session.rs
+++ b/src/net/model/session.rs
@@ -1,4 +1,4 @@
-//! A client's session.
+//! Property test of a client's session.
 
 use super::check;
 use crate::broker::{Answer, Input};
@@ -12,6 +12,7 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
+/// Returns a session with two classes: reads, and writes whose result is not cached.
 pub(super) fn session(memory: Ledger) -> Session {
     let class = |effect| Class { deadline: 5.0, effect, ..Class::default() };
     let classes = [class(Effect::Safe), Class { uncacheable: true, ..class(Effect::Keyed(Scope::All)) }];
@@ -30,12 +31,13 @@
     Session::new(front.into(), tokio::sync::mpsc::unbounded_channel().0)
 }
 
+/// Encodes a frame of these words.
 pub(super) fn frame(words: &[&str]) -> Vec<u8> {
     let words: String = words.iter().map(|w| format!("${}\r\n{w}\r\n", w.len())).collect();
     format!("*{}\r\n{words}", words.matches('$').count()).into_bytes()
 }
 
-/// Tags and words of the answers that were written; none of them has fields or a body.
+/// Removes the written answers, and returns their tags and words; none of them has fields or a body.
 fn answers(session: &mut Session) -> Vec<(u64, String)> {
     let text = String::from_utf8(session.output.bytes()).unwrap();
     session.output.consume(text.len());
@@ -43,10 +45,10 @@
     lines.chunks(9).map(|a| (a[2].parse().unwrap(), a[4].to_owned())).collect()
 }
 
-pub(super) const GOOD: &str =
+pub(super) const VALID_FIELDS: &str =
     "call=9b1f03aa5c7e2d41,ttl=60000,row=7f3a9c21e0b4d655,slice=3,set=17,heap=412.5";
-/// What makes a request unusable: each replaces the field of its name, or takes it away.
-const SPOILT: [&str; 16] = [
+/// Fields that make a request unusable: each replaces the field of the same name, or removes it.
+const INVALID_FIELDS: [&str; 16] = [
     "call=",
     "call=9b1f",
     "call=9b1f03aa5c7e2d41f",
@@ -65,12 +67,11 @@
     "ttl=5,ttl=5",
 ];
 
-/// Each request that a client's connection takes has one answer or is open; what is unusable is failed at once
-/// and goes no further; nothing is waited for longer than its class's time. Once something cannot be read, all
-/// that is owed is failed.
+/// Each accepted request is open or has one answer; an unusable request fails at once and is not passed on;
+/// no deadline exceeds that of the class. After a protocol error, all open requests fail.
 #[test]
-fn a_client_connection_keeps_to_its_states() {
-    let step = (0u8..6, 1u64..7, 0usize..SPOILT.len());
+fn a_client_connection_matches_its_model() {
+    let step = (0u8..6, 1u64..7, 0usize..INVALID_FIELDS.len());
     check(400, vec(step, 1..120), |steps| {
         let (mut session, mut input, mut now) = (session(Ledger::unlimited()), Buffer::default(), 1000.0);
         let mut open = BTreeSet::new();
@@ -78,13 +79,13 @@
             now += 1.0;
             let word = tag.to_string();
             let mut expect = Vec::new();
-            let name = SPOILT[which].split_once('=').unwrap().0;
-            let spoilt = GOOD.split(',').filter(|f| f.split_once('=').unwrap().0 != name);
-            let spoilt = spoilt.chain([SPOILT[which]]).collect::<Vec<_>>().join(",");
+            let name = INVALID_FIELDS[which].split_once('=').unwrap().0;
+            let others = VALID_FIELDS.split(',').filter(|field| field.split_once('=').unwrap().0 != name);
+            let invalid = others.chain([INVALID_FIELDS[which]]).collect::<Vec<_>>().join(",");
             let bytes = match kind {
-                0 | 1 => frame(&["REQ", &word, "media", GOOD, ""]),
-                2 if which % 2 == 0 => frame(&["REQ", &word, "holds", GOOD, "no key"]),
-                2 => frame(&["REQ", &word, "media", &spoilt, ""]),
+                0 | 1 => frame(&["REQ", &word, "media", VALID_FIELDS, ""]),
+                2 if which % 2 == 0 => frame(&["REQ", &word, "holds", VALID_FIELDS, "no key"]),
+                2 => frame(&["REQ", &word, "media", &invalid, ""]),
                 3 => frame(&["ABORT", &word]),
                 4 => Vec::new(),
                 _ if which == 0 => {
@@ -96,23 +97,23 @@
             assert!(input.push(first));
             prop_assert!(
                 !matches!(session.process_frame(now, &mut input), Ok(Some(_))),
-                "half a frame is none"
+                "an incomplete frame is not processed"
             );
             assert!(input.push(rest));
-            let heard = match session.process_frame(now, &mut input) {
-                Ok(heard) => heard.flatten(),
-                Err(broken) => {
+            let received = match session.process_frame(now, &mut input) {
+                Ok(received) => received.flatten(),
+                Err(error) => {
                     prop_assert!(kind < 3 && open.contains(&tag) || kind == 5 && which == 0);
-                    session.fail_open(broken.tag);
-                    let failed: BTreeSet<u64> = answers(&mut session).iter().map(|a| a.0).collect();
+                    session.fail_open(error.tag);
+                    let failed: BTreeSet<u64> = answers(&mut session).iter().map(|(tag, _)| *tag).collect();
                     open.extend((kind == 5).then_some(9));
                     prop_assert_eq!(failed, open);
                     return Ok(());
                 }
             };
-            match (kind, heard) {
-                (0 | 1, Some(Input::Request { caller, request: ask, .. })) => {
-                    prop_assert!(caller.tag == tag && ask.deadline < now + 5.0 && open.insert(tag));
+            match (kind, received) {
+                (0 | 1, Some(Input::Request { caller, request, .. })) => {
+                    prop_assert!(caller.tag == tag && request.deadline < now + 5.0 && open.insert(tag));
                 }
                 (2, None) => expect.push((tag, "fault".to_owned())),
                 (3, Some(Input::Abort(caller))) => prop_assert!(caller.tag == tag && open.remove(&tag)),
@@ -122,7 +123,7 @@
                     expect.extend(open.remove(&tag).then(|| (tag, "fault".to_owned())));
                 }
                 (5, None) => expect.push((8, "no".to_owned())),
-                (_, heard) => prop_assert!(false, "{} of {}: {:?}", kind, tag, heard),
+                (_, received) => prop_assert!(false, "{} of {}: {:?}", kind, tag, received),
             }
             prop_assert_eq!(answers(&mut session), expect);
         }
@@ -130,18 +131,18 @@
     });
 }
 
-/// Guards against a flood of what cannot be used: it is answered, but not heard faster than so.
+/// A flood of unusable frames is answered, but processed at a limited rate.
 #[test]
-fn a_flood_is_heard_at_a_bounded_pace() {
+fn a_flood_is_processed_at_a_limited_rate() {
     let (mut session, mut input) = (session(Ledger::unlimited()), Buffer::default());
     (0..1000).for_each(|_| assert!(input.push(&frame(&["DANCE", "7"]))));
-    let mut heard = |now| {
+    let mut process_all = |now| {
         while let Ok(Some(_)) = session.process_frame(now, &mut input) {}
         answers(&mut session).len()
     };
-    let first = heard(1000.0);
+    let first = process_all(1000.0);
     assert!((1..100).contains(&first), "{first}");
-    assert_eq!(heard(1000.0), 0);
-    let next = heard(1000.1);
+    assert_eq!(process_all(1000.0), 0);
+    let next = process_all(1000.1);
     assert!(next > 0 && next <= first, "{next}");
 }
--- a/src/net/pool/connection.rs
+++ b/src/net/pool/connection.rs
@@ -9,7 +9,7 @@
 use crate::interface::Outcome;
 use crate::memory::{AccountOwner, Grant, Ledger, Purpose};
 use crate::net::Buffer;
-use crate::net::exchange::{EndedBy, Exchange, ended_without_answer};
+use crate::net::exchange::{ClosedBy, Exchange, ended_without_answer};
 use crate::turns::{TaskKind, track_polls};
 use crate::{clock, log};
 use node_socket::NodeSocket;
@@ -21,102 +21,103 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio::time::timeout_at;
 
-/// A connection's own memory: its task and tables.
+/// Memory that a connection's task and tables need.
 const TASK_BYTES: usize = 4 * 1024;
-/// What is read at once.
+/// Size of the read buffer.
 const INPUT_BYTES: usize = 16 * 1024;
-/// What is written at once of orders without bodies.
+/// Size of the write buffer for orders without bodies.
 const OUTPUT_BYTES: usize = 4 * 1024;
-/// So often an order that was surely not written goes out again at once; then its node counts as down.
-const MAX_RETURNS: u8 = 2;
+/// How often an order that was certainly not written is resent; after that the node counts as down.
+const MAX_REQUEUES: u8 = 2;
 
-/// What every connection of a pool is given.
+/// Limits, channels and memory that the connections of a pool share.
 #[derive(Clone)]
 pub(super) struct ConnectionContext {
     pub(super) limits: PoolLimits,
-    /// To the broker.
+    /// Channel to the broker.
     pub(super) reports: UnboundedSender<Report>,
-    /// To the pool: orders that were not sent.
+    /// Channel to the pool for orders that were not sent.
     pub(super) returned: UnboundedSender<Order>,
     pub(super) memory: Ledger,
 }
 
 impl ConnectionContext {
-    /// Reports to the broker.
+    /// Sends a report to the broker.
     pub(super) fn report(&self, report: Report) {
         let _ = self.reports.send(report);
     }
 
-    /// Asks for the memory that a connection needs for itself.
-    pub(super) fn ask_overhead(&self) -> Option<Grant> {
+    /// Acquires the memory that a connection needs besides its requests.
+    pub(super) fn acquire_overhead(&self) -> Option<Grant> {
         let bytes = TASK_BYTES + INPUT_BYTES + OUTPUT_BYTES;
         self.memory.acquire(AccountOwner::of(Purpose::Caches), bytes).ok()
     }
 
-    /// Hands an order that was not sent back to the pool.
+    /// Returns an order that was not sent to the pool.
     fn hand_back(&self, order: Order) {
         let _ = self.returned.send(order);
     }
 }
 
-/// To a connection's task.
+/// A command of the pool to a connection's task.
 enum ConnectionCommand {
     Write(Order),
     Cancel(AttemptId),
-    /// Its node has moved: finish what is under way, and end.
+    /// Finish the requests in flight and close, because the node has moved or the connection is not needed.
     Retire,
 }
 
-/// A connection as the pool sees it.
+/// The pool's handle to a connection.
 pub(super) struct ConnectionHandle {
     commands: UnboundedSender<ConnectionCommand>,
     exchange: Rc<RefCell<Exchange>>,
-    /// Orders handed over that its task has not queued yet.
+    /// Number of orders that the connection's task has not received yet.
     pending: Rc<Cell<usize>>,
 }
 
 impl ConnectionHandle {
-    /// Has its task not ended?
+    /// Returns whether the connection's task still runs.
     pub(super) fn is_open(&self) -> bool {
         !self.commands.is_closed()
     }
 
-    /// How many requests are on it.
+    /// Returns the number of requests on this connection.
     pub(super) fn load(&self) -> usize {
         self.exchange.borrow().load() + self.pending.get()
     }
 
-    /// May a request of this name go here?
+    /// Returns whether a request with this call id may be sent on this connection.
     pub(super) fn accepts(&self, call: &str) -> bool {
         self.exchange.borrow().accepts(call)
     }
 
-    /// Hands over an order, or tells how it ends since the connection has closed.
+    /// Queues an order, or returns its outcome if the connection has closed.
     pub(super) fn write(&self, order: Order) -> Result<(), Outcome> {
         self.pending.set(self.pending.get() + 1);
         self.commands.send(ConnectionCommand::Write(order)).map_err(|_| Outcome::ConnectFailed)
     }
 
-    /// Cancels an attempt, if it is here.
+    /// Cancels an attempt if it is on this connection.
     pub(super) fn cancel(&self, attempt_id: AttemptId) {
         let _ = self.commands.send(ConnectionCommand::Cancel(attempt_id));
     }
 
-    /// Ends it once nothing is under way.
+    /// Closes the connection once no request is in flight.
     pub(super) fn retire(&self) {
         let _ = self.commands.send(ConnectionCommand::Retire);
     }
 }
 
-/// Starts a connection's task, which holds `overhead`.
+/// Starts a connection's task, which keeps the grant `overhead` until it ends.
 pub(super) fn open(address: SocketAddr, context: &ConnectionContext, overhead: Grant) -> ConnectionHandle {
-    let (commands, queue) = unbounded_channel();
+    let (command_sender, commands) = unbounded_channel();
     let exchange = Rc::new(RefCell::new(Exchange::new(context.memory.clone())));
     let pending = Rc::new(Cell::new(0));
-    let handle = ConnectionHandle { commands, exchange: exchange.clone(), pending: pending.clone() };
+    let handle =
+        ConnectionHandle { commands: command_sender, exchange: exchange.clone(), pending: pending.clone() };
     let connection = Connection {
         address,
-        queue,
+        commands,
         exchange,
         pending,
         context: context.clone(),
@@ -127,9 +128,10 @@
     handle
 }
 
+/// The state of a connection's task.
 struct Connection {
     address: SocketAddr,
-    queue: UnboundedReceiver<ConnectionCommand>,
+    commands: UnboundedReceiver<ConnectionCommand>,
     exchange: Rc<RefCell<Exchange>>,
     pending: Rc<Cell<usize>>,
     context: ConnectionContext,
@@ -138,49 +140,51 @@
 }
 
 impl Connection {
+    /// Connects, and exchanges messages until the connection ends.
     async fn run(mut self) {
         let connected = self.connect().await;
-        // A connection that is reset while it is new is no refusal.
+        // A reset during the handshake does not count as a refusal.
         let refused = connected.as_ref().is_err_and(|error| error.kind() != io::ErrorKind::ConnectionReset);
-        // What a body needs beyond the connection's own is granted with the body's own account.
+        // Memory for a request body beyond the write buffer is charged to that request's account.
         let mut output =
             Buffer::new(OUTPUT_BYTES, self.context.memory.empty_grant(AccountOwner::of(Purpose::Bodies)));
         let result = match connected {
             Ok(stream) => self.serve(NodeSocket::new(stream), &mut output).await,
             Err(error) => Err(error),
         };
-        self.queue.close();
+        self.commands.close();
         self.handle_queued();
-        self.finish(result, output.taken(), refused);
+        self.finish(result, output.consumed(), refused);
     }
 
-    /// Connects, by the site's deadline for that; orders that come meanwhile wait and can be taken back.
+    /// Connects within the connect timeout. Orders that arrive meanwhile are queued and can be cancelled.
     async fn connect(&mut self) -> io::Result<TcpStream> {
-        let began = clock::now();
-        let by = clock::instant(began + self.context.limits.connect_timeout);
-        let connecting = timeout_at(by, TcpStream::connect(self.address));
+        let started_at = clock::now();
+        let deadline = clock::instant(started_at + self.context.limits.connect_timeout);
+        let connecting = timeout_at(deadline, TcpStream::connect(self.address));
         tokio::pin!(connecting);
         loop {
             tokio::select! {
                 biased;
-                Some(command) = self.queue.recv() => self.handle(command),
+                Some(command) = self.commands.recv() => self.handle(command),
                 connected = &mut connecting => {
                     let stream = connected.map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
                     stream.set_nodelay(true)?;
-                    self.exchange.borrow_mut().established(clock::now() - began);
+                    self.exchange.borrow_mut().set_connect_time(clock::now() - started_at);
                     return Ok(stream);
                 }
             }
         }
     }
 
-    /// Handles all commands that have come.
+    /// Handles all commands in the channel.
     fn handle_queued(&mut self) {
-        while let Ok(command) = self.queue.try_recv() {
+        while let Ok(command) = self.commands.try_recv() {
             self.handle(command);
         }
     }
 
+    /// Handles a command of the pool.
     fn handle(&mut self, command: ConnectionCommand) {
         let mut exchange = self.exchange.borrow_mut();
         match command {
@@ -194,22 +198,23 @@
                 }
             }
             ConnectionCommand::Retire => {
-                // What waits must not leave for the old address, which may be another node's by now.
+                // Queued orders must not be sent to the old address, which may belong to another node by now.
                 self.retired = true;
-                exchange.hand_back().into_iter().for_each(|order| self.context.hand_back(order));
+                exchange.take_unsent().into_iter().for_each(|order| self.context.hand_back(order));
             }
         }
     }
 
-    /// Ends what was in flight and hands back what was not sent, after so many bytes were written.
+    /// Reports the end of the attempts in flight and hands back the unsent orders, after `written` bytes were
+    /// written.
     fn finish(&self, result: io::Result<()>, written: u64, refused: bool) {
         let mut exchange = self.exchange.borrow_mut();
-        let unsent = exchange.close(ended_by(&result), written, |report| self.context.report(report));
+        let unsent = exchange.close(closed_by(&result), written, |report| self.context.report(report));
         if let Err(error) = result {
-            log!("cache node at {}: {error}", self.address);
+            log!("connection to cache node at {} failed: {error}", self.address);
         }
         for mut order in unsent {
-            if refused || order.requeues >= MAX_RETURNS {
+            if refused || order.requeues >= MAX_REQUEUES {
                 self.context.report(ended_without_answer(order.attempt_id, Outcome::ConnectFailed));
             } else {
                 order.requeues += 1;
@@ -219,14 +224,14 @@
     }
 }
 
-/// Who ended a connection that ended so.
-fn ended_by(result: &io::Result<()>) -> EndedBy {
+/// Returns which side closed a connection that ended with this result.
+fn closed_by(result: &io::Result<()>) -> ClosedBy {
     match result {
-        Ok(()) => EndedBy::Front,
-        // Given up here, for what the node said or did not take.
+        Ok(()) => ClosedBy::Front,
+        // Closed by this front, because of an unusable answer or a timeout.
         Err(error) if matches!(error.kind(), io::ErrorKind::InvalidData | io::ErrorKind::TimedOut) => {
-            EndedBy::Front
+            ClosedBy::Front
         }
-        Err(_) => EndedBy::Node,
+        Err(_) => ClosedBy::Node,
     }
 }
--- a/src/net/pool/connection/answer_timers.rs
+++ b/src/net/pool/connection/answer_timers.rs
@@ -1,69 +1,70 @@
-//! How long the answer that is under way may take.
+//! Timeouts of the answer that is being received.
 
-/// An answer of which a part has come goes on within this. Nodes write theirs at once: none of 14,000 took 2 ms.
-const ANSWER_STALL_SECONDS: f64 = 0.25;
-/// An answer of which a part has come is whole within this.
-const ANSWER_WHOLE_SECONDS: f64 = 1.5;
-/// While there is no memory for an answer, it is asked for again; after this the answer is discarded and its request
-/// refused, so that its client hears in time.
+/// How long the next bytes of a partly received answer may take. Nodes write an answer at once: none of
+/// 14,000 took 2 ms.
+const ANSWER_STALL_TIMEOUT_SECONDS: f64 = 0.25;
+/// How long a whole answer may take from its first bytes.
+const ANSWER_TIMEOUT_SECONDS: f64 = 1.5;
+/// How long an answer may wait for memory, which is retried meanwhile. After that the answer is discarded and
+/// its request refused, so that the client hears of it in time.
 const MEMORY_WAIT_SECONDS: f64 = 0.15;
 
-/// An answer of which a part is here.
+/// Times of an answer that has been received in part (Unix seconds).
 #[derive(Clone, Copy)]
 struct PartialAnswer {
-    /// When its first part came.
-    since: f64,
-    /// When more of it is due.
-    more_by: f64,
+    /// When its first bytes were read.
+    started_at: f64,
+    /// When it has stalled unless more of it is read.
+    stalled_at: f64,
 }
 
 impl PartialAnswer {
-    /// More of an answer that began then came now.
-    fn continued(since: f64, now: f64) -> Self {
-        PartialAnswer { since, more_by: now + ANSWER_STALL_SECONDS }
+    /// An answer that started at `started_at` and of which more was read at `now`.
+    fn continued(started_at: f64, now: f64) -> Self {
+        PartialAnswer { started_at, stalled_at: now + ANSWER_STALL_TIMEOUT_SECONDS }
     }
 }
 
-/// The times of the answer that is under way (Unix seconds).
+/// Timers of the answer at the head of the input (Unix seconds).
 #[derive(Default)]
 pub(super) struct AnswerTimers {
     partial: Option<PartialAnswer>,
-    /// When the answer that there is no memory for is discarded.
+    /// When an answer that waits for memory is discarded.
     discard_at: Option<f64>,
 }
 
 impl AnswerTimers {
-    /// When the answer counts as one that stopped short.
+    /// Returns when a partly received answer times out.
     pub(super) fn stalled_at(&self) -> Option<f64> {
-        self.partial.map(|partial| partial.more_by.min(partial.since + ANSWER_WHOLE_SECONDS))
+        self.partial.map(|partial| partial.stalled_at.min(partial.started_at + ANSWER_TIMEOUT_SECONDS))
     }
 
-    /// Is there no memory for the answer?
+    /// Returns whether the answer waits for memory.
     pub(super) fn needs_memory(&self) -> bool {
         self.discard_at.is_some()
     }
 
-    /// There is no memory for the answer; has that been so for too long?
-    pub(super) fn memory_wait_is_over(&mut self, now: f64) -> bool {
+    /// Starts the wait for memory if it has not started, and returns whether it has timed out.
+    pub(super) fn memory_wait_timed_out(&mut self, now: f64) -> bool {
         now >= *self.discard_at.get_or_insert(now + MEMORY_WAIT_SECONDS)
     }
 
-    /// The answer waits for memory no longer.
+    /// Ends the wait for memory.
     pub(super) fn end_memory_wait(&mut self) {
         self.discard_at = None;
     }
 
-    /// While the answer waits for memory nothing of it is read, so that its time begins anew.
-    pub(super) fn restart_while_memory_is_short(&mut self, now: f64) {
+    /// Restarts the timeouts of an answer that waits for memory, since nothing of it is read meanwhile.
+    pub(super) fn restart_if_waiting_for_memory(&mut self, now: f64) {
         if self.needs_memory() {
             self.partial = self.partial.map(|_| PartialAnswer::continued(now, now));
         }
     }
 
-    /// Bytes were read. `partial`: an answer is here in part; `advanced`: something whole came before it, or was
-    /// discarded, so that it begins now.
-    pub(super) fn note_read(&mut self, now: f64, partial: bool, advanced: bool) {
-        let began = self.partial.filter(|_| !advanced).map_or(now, |partial| partial.since);
-        self.partial = partial.then_some(PartialAnswer::continued(began, now));
+    /// Updates the timeouts after a read. `is_partial`: an answer has been received in part. `advanced`:
+    /// earlier bytes were consumed or discarded, so that this answer starts now.
+    pub(super) fn record_read(&mut self, now: f64, is_partial: bool, advanced: bool) {
+        let started_at = self.partial.filter(|_| !advanced).map_or(now, |partial| partial.started_at);
+        self.partial = is_partial.then_some(PartialAnswer::continued(started_at, now));
     }
 }
--- a/src/net/pool/connection/node_socket.rs
+++ b/src/net/pool/connection/node_socket.rs
@@ -1,4 +1,4 @@
-//! The socket of a connection to a cache node, which tells how many of its bytes have reached the node's system.
+//! The socket of a connection to a cache node, and how many of its bytes have been sent.
 
 use crate::net::tcp_info::TcpInfo;
 use std::cell::Cell;
@@ -9,24 +9,25 @@
 #[derive(Debug)]
 pub(super) struct NodeSocket {
     stream: TcpStream,
-    /// The node's system dropped something that was sent, so that only what it acknowledges has arrived.
+    /// The node's kernel dropped bytes that were sent, so that only acknowledged bytes count as sent.
     awaits_acknowledgement: Cell<bool>,
 }
 
 impl NodeSocket {
-    /// The socket of a connection that is established.
+    /// Wraps the socket of an established connection.
     pub(super) fn new(stream: TcpStream) -> Self {
         NodeSocket { stream, awaits_acknowledgement: Cell::new(false) }
     }
 
-    /// How many of the first `written` bytes, which are all that was written, have left this system and were not dropped by
-    /// the node's, as far as is known. Asks the system, and counts none where it is not known how many. An acknowledgement
-    /// is not waited for: a healthy system delays it by up to 40 ms, whereas it tells at once that it dropped something.
+    /// Returns how many of the `written` bytes of this connection have left this kernel and were not dropped
+    /// by the node's, as far as is known. After a drop, returns 0 until everything is acknowledged. Otherwise
+    /// it does not wait for an acknowledgement: a healthy kernel delays it by up to 40 ms, but reports a drop
+    /// at once.
     pub(super) fn sent(&self, written: u64) -> u64 {
-        // Where the system does not tell, all that was written counts as sent.
+        // Without TCP_INFO, all that was written counts as sent.
         let Some(info) = TcpInfo::of(&self.stream) else { return written };
-        let lacks_some = info.is_dropped() || self.awaits_acknowledgement.get();
-        let awaits_acknowledgement = lacks_some && info.has_unacknowledged();
+        let has_drops = info.is_dropped() || self.awaits_acknowledgement.get();
+        let awaits_acknowledgement = has_drops && info.has_unacknowledged();
         self.awaits_acknowledgement.set(awaits_acknowledgement);
         if awaits_acknowledgement {
             return 0;
@@ -34,7 +35,7 @@
         written.saturating_sub(u64::from(info.unsent_bytes()))
     }
 
-    /// Has it end with a reset, which the node's system hears of whatever it has not taken.
+    /// Makes the connection end with a reset, which reaches the node's kernel even behind a closed window.
     pub(super) fn reset_when_dropped(&self) {
         let _ = self.stream.set_zero_linger();
     }
--- a/src/net/pool/limits.rs
+++ b/src/net/pool/limits.rs
@@ -1,35 +1,36 @@
-//! How many connections there may be, and how many requests on each.
+//! Limits on the number of connections, and on the requests on each of them.
 
-/// A further connection to a node is opened once each has so many requests, where a connection costs nothing: whatever
-/// spoils an answer ends its connection, and with it what else is in flight there.
+/// Load at which another connection to a node is opened when a handshake costs nothing: an unusable answer
+/// closes its connection and fails whatever else is in flight on it, so requests do not share one.
 const REQUESTS_PER_FREE_CONNECTION: usize = 1;
-/// The same where a connection has a price, as in a fleet whose fronts together hold most of what a node accepts.
+/// Load at which another connection to a node is opened when a handshake has a cost, as in a fleet whose
+/// fronts together use up most of the connections that a node accepts.
 pub(super) const REQUESTS_PER_PRICED_CONNECTION: usize = 8;
-/// Most connections to one node.
+/// Upper bound on the active connections to one node.
 pub(super) const MAX_CONNECTIONS_PER_NODE: usize = 16;
 
-/// The pool's limits.
+/// Timeouts and limits of the pool.
 #[derive(Debug, Clone, Copy)]
 pub struct PoolLimits {
-    /// A connection that is not made by then has failed (seconds).
+    /// Timeout for establishing a connection (seconds).
     pub connect_timeout: f64,
-    /// An unused connection is closed after this (seconds); well before the node does.
+    /// How long an unused connection stays open (seconds); well below the node's own idle timeout.
     pub idle_timeout: f64,
-    /// Most requests on one connection.
+    /// Upper bound on the requests on one connection.
     pub max_requests_per_connection: usize,
-    /// Most connections in all.
+    /// Upper bound on the connections to all nodes.
     pub max_connections: usize,
-    /// What each new one costs; 0: nothing.
+    /// Cost of opening a connection; 0 if it is free.
     pub handshake_cost: f64,
 }
 
 impl PoolLimits {
-    /// So many requests on each connection to a node are worth a further one.
-    pub(super) fn requests_per_connection(&self) -> usize {
-        let wanted = match self.handshake_cost > 0.0 {
+    /// Returns the load of every connection to a node from which on another one is opened.
+    pub(super) fn requests_before_new_connection(&self) -> usize {
+        let threshold = match self.handshake_cost > 0.0 {
             true => REQUESTS_PER_PRICED_CONNECTION,
             false => REQUESTS_PER_FREE_CONNECTION,
         };
-        wanted.min(self.max_requests_per_connection)
+        threshold.min(self.max_requests_per_connection)
     }
 }
--- a/src/net/pool/node_connections.rs
+++ b/src/net/pool/node_connections.rs
@@ -10,24 +10,25 @@
 pub(super) struct NodeConnections {
     address: Option<SocketAddr>,
     active: Vec<ConnectionHandle>,
-    /// Connections to where the node was before. They get no new orders, but what is in flight on them can still
-    /// be cancelled.
+    /// Connections that get no new orders, such as those to a former address of the node. Requests in flight
+    /// on them can still be cancelled.
     retired: Vec<ConnectionHandle>,
 }
 
 impl NodeConnections {
-    /// Where the node is; `None` once it is gone.
+    /// The node's address; `None` once the node is withdrawn.
     pub(super) fn address(&self) -> Option<SocketAddr> {
         self.address
     }
 
-    /// The node is gone, as far as the list says.
-    pub(super) fn forget_address(&mut self) {
+    /// Marks the node as withdrawn without retiring its connections.
+    pub(super) fn clear_address(&mut self) {
         self.address = None;
     }
 
-    /// The node is at this address; connections to another lead elsewhere, or to a node that is gone.
-    pub(super) fn move_to(&mut self, address: Option<SocketAddr>) {
+    /// Sets the node's address. If it changes, the active connections are retired, since they lead to another
+    /// node or to one that is withdrawn.
+    pub(super) fn set_address(&mut self, address: Option<SocketAddr>) {
         if self.address == address {
             return;
         }
@@ -38,54 +39,54 @@
         }
     }
 
-    /// Cancels an attempt, wherever it is.
+    /// Cancels an attempt on whichever connection it is.
     pub(super) fn cancel(&self, attempt_id: AttemptId) {
         for connection in self.active.iter().chain(&self.retired) {
             connection.cancel(attempt_id);
         }
     }
 
-    /// Forgets active connections that have closed.
-    pub(super) fn forget_closed(&mut self) {
+    /// Removes active connections that have closed.
+    pub(super) fn remove_closed(&mut self) {
         self.active.retain(ConnectionHandle::is_open);
     }
 
-    /// Forgets connections that have closed; is there an address or a connection left?
+    /// Removes connections that have closed, and returns whether an address or a connection is left.
     pub(super) fn is_in_use(&mut self) -> bool {
-        self.forget_closed();
+        self.remove_closed();
         self.retired.retain(ConnectionHandle::is_open);
         self.address.is_some() || !self.active.is_empty() || !self.retired.is_empty()
     }
 
-    /// Connections that are open, also those that only finish what is under way.
+    /// Counts the open connections, including those that only finish their requests in flight.
     pub(super) fn count_open(&mut self) -> usize {
         self.retired.retain(ConnectionHandle::is_open);
         self.active.len() + self.retired.len()
     }
 
-    /// How many connections are active.
+    /// Returns the number of active connections.
     pub(super) fn len(&self) -> usize {
         self.active.len()
     }
 
-    /// Is no connection active?
+    /// Returns whether no connection is active.
     pub(super) fn is_empty(&self) -> bool {
         self.active.is_empty()
     }
 
-    /// May a further connection be opened to this node?
+    /// Returns whether the per-node limit allows another connection.
     pub(super) fn has_room(&self) -> bool {
         self.active.len() < MAX_CONNECTIONS_PER_NODE
     }
 
-    /// The index and load of the least loaded active connection that may take this call.
+    /// Returns the index and load of the least loaded active connection that accepts this call.
     pub(super) fn least_loaded(&self, call: &str, max_requests: usize) -> Option<(usize, usize)> {
         let loads = self.active.iter().enumerate().map(|(index, connection)| (index, connection.load()));
         let usable = loads.filter(|(index, load)| *load < max_requests && self.active[*index].accepts(call));
         usable.min_by_key(|(_, load)| *load)
     }
 
-    /// The active connection of this index.
+    /// Returns the active connection at this index.
     pub(super) fn get(&self, index: usize) -> &ConnectionHandle {
         &self.active[index]
     }
@@ -97,12 +98,12 @@
         &self.active[index]
     }
 
-    /// Is there an active connection with nothing on it?
+    /// Returns whether an active connection has no requests.
     pub(super) fn has_idle(&self) -> bool {
         self.idle_index().is_some()
     }
 
-    /// Retires an active connection with nothing on it; was there any?
+    /// Retires an active connection that has no requests. Returns whether there was one.
     pub(super) fn retire_idle(&mut self) -> bool {
         let Some(index) = self.idle_index() else { return false };
         let connection = self.active.swap_remove(index);
