--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,11 +1,12 @@
-//! onyxyoke makes the decisions of a front (a *director*) for caches of large objects behind thin links.
+//! onyxyoke makes the routing decisions of a front (a *director*) for caches of large objects behind thin
+//! links.
 //!
-//! A director learns, per count of positive beliefs, how often its belief that an edge cache holds an
-//! object is wrong, and picks the edge cache and the source of a fill by least expected cost. The policy
-//! is one module, [`Director`]; the types it speaks are in [`interface`]. It opens no sockets and reads no
-//! clock: the host hands in events with the time they happened and carries out the actions. Around it stand
-//! the [`broker`], a core that knows no wire, the platform's wires in [`net`], the front for signed links in
-//! [`signed`], and discovery in [`xds`] form.
+//! A director learns, per count of positive beliefs, how often its belief that an edge cache holds an object
+//! is wrong, and selects the edge cache and the source of a fill by least expected cost. The policy is
+//! [`Director`], and the types of its interface are in [`interface`]. It opens no sockets and reads no clock:
+//! the caller passes in events with their times and carries out the returned actions. The [`broker`] connects
+//! it with requests independently of any wire protocol; the platform's protocols are in [`net`], signed links
+//! in [`signed`], and discovery over xDS in [`xds`].
 //!
 //! ```
 //! use onyxyoke::interface::*;
@@ -17,7 +18,8 @@
 //! let origin = Node { id: NodeId(1), kind: 2, ..Node::default() };
 //! let mut director = Director::new(42, settings);
 //! let mut actions = Vec::new();
-//! director.handle(0.0, Event::List { kind: ListKind::Cached, nodes: vec![edge, origin].into() }, &mut actions);
+//! let nodes = vec![edge, origin].into();
+//! director.handle(0.0, Event::List { kind: ListKind::Cached, nodes }, &mut actions);
 //! let request = Request { id: RequestId(1), expires: 3.0, object: ObjectId(99), ..Request::default() };
 //! director.handle(0.1, Event::Request(request), &mut actions);
 //! assert!(actions.iter().any(|a| matches!(a, Action::Fetch { node: NodeId(7), .. })));
--- a/src/log.rs
+++ b/src/log.rs
@@ -1,39 +1,42 @@
-//! Log lines: one macro over `eprintln!`, rate-limited so that a storm of bad input cannot fill a disk or
-//! hold up the one thread.
+//! Log lines: a macro over `eprintln!` with a token bucket, so that a flood of bad input can neither fill a
+//! disk nor block the single thread.
 
 use std::cell::Cell;
 
-/// Lines a second that are let through; the rest are counted and told of with the next line.
+/// Lines per second that are written; the others are counted, and the next line states their number.
 const LINES_PER_S: f64 = 20.0;
-/// Lines that may come at once.
-const BURST: f64 = 60.0;
+/// Lines that may be written at once.
+const BURST_LINES: f64 = 60.0;
 
 thread_local! {
-    /// Tokens left, when they were last topped up, lines dropped since the last one written.
-    static BUCKET: Cell<(f64, f64, u64)> = const { Cell::new((BURST, 0.0, 0)) };
+    /// Tokens left, when the bucket was last refilled, and lines dropped since the last written line.
+    static BUCKET: Cell<(f64, f64, u64)> = const { Cell::new((BURST_LINES, 0.0, 0)) };
 }
 
-/// Takes a token; `None` if the line is to be dropped, else how many were dropped before it.
+/// Takes a token for a line. Returns the number of lines dropped before it, or `None` if it must be dropped
+/// as well.
 pub fn admit(now: f64) -> Option<u64> {
     BUCKET.with(|bucket| {
         let (tokens, at, dropped) = bucket.get();
-        let tokens = (tokens + (now - at).max(0.0) * LINES_PER_S).min(BURST);
-        let (state, verdict) = match tokens >= 1.0 {
+        let tokens = (tokens + (now - at).max(0.0) * LINES_PER_S).min(BURST_LINES);
+        let (state, admitted) = match tokens >= 1.0 {
             true => ((tokens - 1.0, now, 0), Some(dropped)),
             false => ((tokens, now, dropped + 1), None),
         };
         bucket.set(state);
-        verdict
+        admitted
     })
 }
 
-/// Writes one line to standard error, unless too many were written lately.
+/// Writes a line to standard error, unless the rate limit drops it.
 #[macro_export]
 macro_rules! log {
     ($($arg:tt)*) => {
         match $crate::log::admit($crate::clock::now()) {
             Some(0) => eprintln!("onyxyoke: {}", format_args!($($arg)*)),
-            Some(dropped) => eprintln!("onyxyoke: {} ({dropped} lines dropped before)", format_args!($($arg)*)),
+            Some(dropped) => {
+                eprintln!("onyxyoke: {} ({dropped} lines dropped before)", format_args!($($arg)*))
+            }
             None => {}
         }
     };
@@ -42,9 +45,9 @@
 #[cfg(test)]
 mod tests {
     #[test]
-    fn a_storm_of_lines_is_cut_and_counted() {
-        let let_through = (0..1000).filter(|_| super::admit(1e9).is_some()).count();
-        assert_eq!(let_through, super::BURST as usize);
-        assert_eq!(super::admit(1e9 + 1.0), Some(1000 - super::BURST as u64));
+    fn lines_over_the_rate_limit_are_dropped_and_counted() {
+        let admitted = (0..1000).filter(|_| super::admit(1e9).is_some()).count();
+        assert_eq!(admitted, super::BURST_LINES as usize);
+        assert_eq!(super::admit(1e9 + 1.0), Some(1000 - super::BURST_LINES as u64));
     }
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,5 @@
-//! One real front: reads its configuration, listens, wires the tasks together, and ends when it is told to.
+//! The front as a process: reads the configuration, opens the listeners, starts the tasks, and shuts down on
+//! SIGTERM.
 #![forbid(unsafe_code)]
 
 use onyxyoke::broker::{self, Broker, Close, Contracts, Figures, Input, Inputs, News, Setup};
@@ -8,7 +9,7 @@
 use onyxyoke::net::{ListenerState, Live, admin, clients, coordinator, pool};
 use onyxyoke::signed::keys::{KeyFile, Keys};
 use onyxyoke::state::{StateStore, StateWorker, Succession};
-use onyxyoke::turns::{self, TaskKind, measured};
+use onyxyoke::turns::{self, TaskKind, track_polls};
 use onyxyoke::{clock, log, signed, watch, xds};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -21,34 +22,39 @@
 use tokio::task::{JoinSet, LocalSet, spawn_local};
 use tokio::time::sleep_until;
 
-/// Tells what is live, and gives what was freed back to the system: the accounts are held against both.
+/// An allocator that reports its live memory and returns freed memory to the system; the accounts are checked
+/// against both.
 #[global_allocator]
 static ALLOCATOR: tikv_jemallocator::Jemalloc = tikv_jemallocator::Jemalloc;
 
-/// After SIGTERM new connections keep coming for 0.4 s, and requests on open ones for 0.2 s more; what comes
-/// up to 0.7 s after it is owed an answer. So long, and a little over, everything is taken (seconds).
-const CLOSING: f64 = 0.9;
-/// SIGKILL comes no sooner after SIGTERM than the longest deadline, of which so much counts at most, and this
-/// (seconds).
-const KILL: (f64, f64) = (3.0, 0.7);
-/// So long before that everything is answered, and everything written (seconds).
-const BEFORE: (f64, f64) = (0.45, 0.15);
-/// After SIGTERM it is looked this often whether another process of the front has started (seconds).
-const SUCCESSOR_CHECK_INTERVAL: f64 = 0.02;
-/// Requests that wait for the broker's turn, as far as their account has room for so many; beyond, connections are
-/// not read from.
-const ASKS: usize = 256;
-/// Share of the descriptors for cache nodes.
-const SHARE: usize = 3;
+/// Time after SIGTERM for which all connections and requests are accepted (seconds). New connections arrive
+/// for 0.4 s and requests on open ones for 0.2 s more; requests up to 0.7 s after SIGTERM must be answered.
+const CLOSING_WINDOW_S: f64 = 0.9;
+/// SIGKILL comes no sooner after SIGTERM than the longest deadline, counted up to this limit, plus
+/// `KILL_DELAY_S` (seconds).
+const KILL_DEADLINE_MAX_S: f64 = 3.0;
+/// Time from the longest deadline after SIGTERM to SIGKILL (seconds).
+const KILL_DELAY_S: f64 = 0.7;
+/// All requests are answered this long before SIGKILL (seconds).
+const ANSWERED_BEFORE_KILL_S: f64 = 0.45;
+/// All answers are written this long before SIGKILL (seconds).
+const WRITTEN_BEFORE_KILL_S: f64 = 0.15;
+/// Interval of the check after SIGTERM for another process of the front (seconds).
+const SUCCESSOR_CHECK_INTERVAL_S: f64 = 0.02;
+/// Length of the broker's request queue, if the account of waiting requests has room for it. Connections are
+/// not read from while the queue is full.
+const REQUEST_QUEUE_MAX: usize = 256;
+/// Connections to cache nodes may use one in this many descriptors.
+const DESCRIPTORS_PER_CACHE_CONNECTION: usize = 3;
 
 fn main() -> ExitCode {
     #[cfg(feature = "planted")]
     onyxyoke::planted::start();
-    let ended = turns::runtime().and_then(|runtime| {
+    let result = turns::runtime().and_then(|runtime| {
         LocalSet::new().block_on(&runtime, async {
-            // Before anything else: the default of each signal would end the process, also while it reads its files.
+            // First of all: by default each signal would end the process, also while it reads its files.
             let signals = Signals::register()?;
-            match read() {
+            match read_config() {
                 Ok(config) => run(config, signals).await.map(|()| ExitCode::SUCCESS),
                 Err(message) => {
                     eprintln!("onyxyoke: {message}");
@@ -57,13 +63,13 @@
             }
         })
     });
-    ended.unwrap_or_else(|e| {
+    result.unwrap_or_else(|e| {
         eprintln!("onyxyoke: {e}");
         ExitCode::FAILURE
     })
 }
 
-/// What the system tells the process.
+/// The signals that the process handles.
 struct Signals {
     terminate: Signal,
     hangup: Signal,
@@ -77,8 +83,9 @@
     }
 }
 
-/// Reads the files that `NODE_CONFIG` (the platform's) and `ONYXYOKE_OPERATOR` (the operator's) name.
-fn read() -> Result<Config, String> {
+/// Reads the platform's configuration file, named by `NODE_CONFIG`, and the operator's, named by
+/// `ONYXYOKE_OPERATOR`.
+fn read_config() -> Result<Config, String> {
     let file = |name: &str| match std::env::var(name) {
         Err(_) => Ok(None),
         Ok(path) => match std::fs::read(&path) {
@@ -92,7 +99,7 @@
     }
     let text = |(path, bytes): (String, Vec<u8>)| match String::from_utf8(bytes) {
         Ok(text) => Ok((path, text)),
-        Err(_) => Err(format!("{path}: the file is no text")),
+        Err(_) => Err(format!("{path}: the file is not UTF-8 text")),
     };
     let operator = operator.map(text).transpose()?;
     let platform = platform.as_ref().map(|(path, bytes)| (path.as_str(), bytes.as_slice()));
@@ -102,8 +109,8 @@
     Ok(config)
 }
 
-/// Where news comes from: what a reload may change.
-struct Feed {
+/// The parts of the front that a reload may change.
+struct Reload {
     discovery: Option<Rc<Live<(SocketAddr, f64)>>>,
     coordinator: Option<Rc<Live<SocketAddr>>>,
     memory: Ledger,
@@ -111,36 +118,36 @@
     settings: Rc<Cell<u64>>,
 }
 
-impl Feed {
-    /// Reads the files again. An unusable one changes nothing; what cannot change while running is told, and
-    /// always held against what is in force.
-    fn reload(&self, loaded: &LoadedSettings) {
-        let later = match read() {
-            Ok(later) => later,
+impl Reload {
+    /// Reads the files again. An unusable file changes nothing; settings that need a restart are logged if
+    /// they differ from those in force.
+    fn apply(&self, loaded: &LoadedSettings) {
+        let reloaded = match read_config() {
+            Ok(reloaded) => reloaded,
             Err(message) => return log!("reload: {message}; the old settings stay"),
         };
-        if let (Some(live), Some(xds)) = (&self.discovery, &later.xds) {
+        if let (Some(live), Some(xds)) = (&self.discovery, &reloaded.xds) {
             live.set((xds.server, xds.refresh));
         }
-        if let (Some(live), Some(address)) = (&self.coordinator, later.coordinator) {
+        if let (Some(live), Some(address)) = (&self.coordinator, reloaded.coordinator) {
             live.set(address);
         }
-        if *self.memory.accounts().plan() != later.memory {
-            self.memory.replan(later.memory);
+        if *self.memory.accounts().plan() != reloaded.memory {
+            self.memory.replan(reloaded.memory);
         }
-        let fixed = loaded.fixed(&later.loaded);
-        match fixed.is_empty() {
+        let need_restart = loaded.fixed(&reloaded.loaded);
+        match need_restart.is_empty() {
             true => {
-                self.settings.set(later.loaded.digest());
+                self.settings.set(reloaded.loaded.digest());
                 log!("reload: the settings are in force");
             }
-            false => log!("reload: '{}' cannot change before the next start", fixed.join("', '")),
+            false => log!("reload: '{}' cannot change before the next start", need_restart.join("', '")),
         }
     }
 }
 
-/// What both fronts share.
-struct Fronts {
+/// The state that the listeners for clients and for signed links share.
+struct ListenerContext {
     asks: Sender<Input>,
     classes: Rc<Classes>,
     contracts: Rc<Contracts>,
@@ -148,16 +155,16 @@
     figures: Rc<Figures>,
     memory: Ledger,
     numbers: Rc<Cell<u64>>,
-    /// Most connections of one front.
+    /// Upper limit of the connections of one listener.
     connections: usize,
-    /// What a refusal of a front's own says (seconds).
+    /// Retry delay in refusals by the front itself (seconds).
     wait: f64,
     listening: Rc<ListenerState>,
     served: JoinSet<()>,
 }
 
-impl Fronts {
-    /// Serves RESP clients.
+impl ListenerContext {
+    /// Starts to serve RESP clients.
     fn serve_clients(&mut self, name: &str, listener: TcpListener) -> std::io::Result<()> {
         let front = clients::Front {
             asks: self.asks.clone(),
@@ -172,11 +179,11 @@
         };
         log!("{name} serves on {}", listener.local_addr()?);
         let accepting = clients::accept(listener, Rc::new(front), self.listening.clone());
-        self.served.spawn_local(measured(TaskKind::Listener, accepting));
+        self.served.spawn_local(track_polls(TaskKind::Listener, accepting));
         Ok(())
     }
 
-    /// Serves signed links, and reads the signers' keys again and again.
+    /// Starts to serve signed links, and to reload the signers' keys at intervals.
     fn serve_signed(
         &mut self,
         name: &str,
@@ -184,16 +191,16 @@
         signed: config::Signed,
         classes: Vec<Class>,
     ) -> std::io::Result<()> {
-        let wrong = |e: String| std::io::Error::other(format!("'signed.keys': {e}"));
-        let text = std::fs::read_to_string(&signed.keys).map_err(|e| wrong(e.to_string()))?;
+        let keys_error = |e: String| std::io::Error::other(format!("'signed.keys': {e}"));
+        let text = std::fs::read_to_string(&signed.keys).map_err(|e| keys_error(e.to_string()))?;
         let mut keys = Keys::default();
-        keys.replace(clock::now(), 0.0, KeyFile::parse(&text).map_err(wrong)?);
-        let held = self.memory.ask(AccountOwner::of(Purpose::Signed), keys.footprint());
-        let held = held.map_err(|_| wrong("they are larger than 'memory.signed' allows".into()))?;
+        keys.replace(clock::now(), 0.0, KeyFile::parse(&text).map_err(keys_error)?);
+        let grant = self.memory.acquire(AccountOwner::of(Purpose::Signed), keys.footprint());
+        let grant = grant.map_err(|_| keys_error("they are larger than 'memory.signed' allows".into()))?;
         let keys = Rc::new(RefCell::new(keys));
         let times = (signed.reread, signed.overlap);
-        let watching = signed::watch_keys(signed.keys, text, keys.clone(), times, held);
-        spawn_local(measured(TaskKind::Keys, watching));
+        let key_reloads = signed::watch_keys(signed.keys, text, keys.clone(), times, grant);
+        spawn_local(track_polls(TaskKind::Keys, key_reloads));
         let front = signed::Front {
             asks: self.asks.clone(),
             contracts: self.contracts.clone(),
@@ -209,12 +216,12 @@
         };
         log!("{name} serves signed links on {}", listener.local_addr()?);
         let accepting = signed::accept(listener, Rc::new(front), self.listening.clone());
-        self.served.spawn_local(measured(TaskKind::Listener, accepting));
+        self.served.spawn_local(track_polls(TaskKind::Listener, accepting));
         Ok(())
     }
 }
 
-/// Where clients connect.
+/// The open listeners.
 struct Listeners {
     clients: Option<TcpListener>,
     signed: Option<TcpListener>,
@@ -236,24 +243,24 @@
     }
 }
 
-/// What the process keeps beside others of its front.
-struct Kept {
+/// State on disk that processes of the same front share.
+struct SharedState {
     store: StateStore,
-    /// Cordons that were there at the start.
+    /// Cordons from before the start.
     cordons: Option<onyxyoke::membership::Kept>,
     succession: Succession,
 }
 
-impl Kept {
-    /// Finds what an earlier process of the front has left. One that is closing may still listen: it is to be given no more
-    /// clients.
+impl SharedState {
+    /// Opens the state that earlier processes of the front left. One that is shutting down may still listen;
+    /// it must get no further clients.
     fn open(name: &str, listeners: &Listeners) -> std::io::Result<Self> {
         let (store, cordons) = StateStore::open(std::env::temp_dir(), name, &listeners.addresses()?);
         let succession = store.succession();
         if !succession.another_serves() {
             listeners.all().for_each(onyxyoke::net::prefer_youngest);
         }
-        Ok(Kept { store, cordons, succession })
+        Ok(SharedState { store, cordons, succession })
     }
 }
 
@@ -264,21 +271,22 @@
     let (reports_in, reports) = unbounded_channel();
     let (commands_in, commands) = unbounded_channel();
     let waiting = config.memory.limits[Purpose::Waiting as usize].cap;
-    let (asks_in, asks) = channel((waiting / broker::REQUEST).clamp(1, ASKS));
+    let (asks_in, asks) = channel((waiting / broker::REQUEST).clamp(1, REQUEST_QUEUE_MAX));
     let (close, closes) = unbounded_channel();
     let print = Rc::new(Notify::new());
     let ready = Rc::new(Cell::new(false));
     let memory = Ledger::new(config.memory, config.contracts.0.len());
-    let longest = config.settings.classes.iter().map(|c| c.deadline).fold(0.0, f64::max);
+    let longest_deadline = config.settings.classes.iter().map(|c| c.deadline).fold(0.0, f64::max);
 
     let listeners = Listeners::open(&config)?;
-    // Cordons are kept where the process that replaces this one finds them; with no operators' socket there are none.
-    let kept = config.admin.map(|_| Kept::open(&config.name, &listeners)).transpose()?;
-    if kept.is_none() {
+    // Cordons are stored where the process that replaces this one finds them; without an operators' socket
+    // there are none.
+    let shared_state = config.admin.map(|_| SharedState::open(&config.name, &listeners)).transpose()?;
+    if shared_state.is_none() {
         listeners.all().for_each(onyxyoke::net::share_by_hash);
     }
     let classes = Rc::new(config.classes);
-    let mut fronts = Fronts {
+    let mut listener_context = ListenerContext {
         asks: asks_in,
         figures: Figures::new(classes.names.clone()),
         classes,
@@ -286,163 +294,165 @@
         ready: ready.clone(),
         memory: memory.clone(),
         numbers: Rc::default(),
-        // Clients hold a third at most; what they have just closed may not be gone here yet.
+        // Clients hold at most a third; the rest is for connections that they have closed and this process
+        // has not yet.
         connections: config.sockets * 2 / 5 / listeners.all().count().max(1),
         wait: config.settings.max_wait,
         listening: ListenerState::new(),
         served: JoinSet::new(),
     };
     if let Some(listener) = listeners.clients {
-        fronts.serve_clients(&config.name, listener)?;
+        listener_context.serve_clients(&config.name, listener)?;
     }
     if let (Some(listener), Some(signed)) = (listeners.signed, config.signed) {
-        fronts.serve_signed(&config.name, listener, signed, config.settings.classes.clone())?;
+        listener_context.serve_signed(&config.name, listener, signed, config.settings.classes.clone())?;
     }
     let (mut cordons, mut succession) = (None, None);
-    if let (Some(address), Some(mut kept)) = (config.admin, kept) {
+    if let (Some(address), Some(mut shared_state)) = (config.admin, shared_state) {
         let listener = TcpListener::bind(address).await?;
         log!("{} answers operators on {}", config.name, listener.local_addr()?);
-        kept.succession.note();
+        shared_state.succession.note();
         let context = admin::AdminContext {
             ready: ready.clone(),
-            figures: fronts.figures.clone(),
+            figures: listener_context.figures.clone(),
             operators: operators_in.clone(),
-            store: StateWorker::start(kept.store),
+            store: StateWorker::start(shared_state.store),
             settings: settings.clone(),
             build: Cell::new(None),
         };
-        spawn_local(measured(TaskKind::Operators, admin::serve(listener, Rc::new(context))));
-        (cordons, succession) = (kept.cordons, Some(kept.succession));
+        spawn_local(track_polls(TaskKind::Operators, admin::serve(listener, Rc::new(context))));
+        (cordons, succession) = (shared_state.cordons, Some(shared_state.succession));
     }
     drop(operators_in);
     let limits = pool::Limits {
         connect_within: config.connect_within,
         idle: config.keepalive / 2.0,
         streams: config.streams,
-        connections: (config.sockets / SHARE).max(1),
+        connections: (config.sockets / DESCRIPTORS_PER_CACHE_CONNECTION).max(1),
         handshake: config.handshake,
     };
-    spawn_local(measured(TaskKind::Pool, pool::run(commands, reports_in, limits, memory.clone())));
-    spawn_local(measured(TaskKind::Memory, watch::memory(memory.clone())));
+    spawn_local(track_polls(TaskKind::Pool, pool::run(commands, reports_in, limits, memory.clone())));
+    spawn_local(track_polls(TaskKind::Memory, watch::watch_memory(memory.clone())));
 
     let seed = config.seed;
     let mut broker = Broker::new(Setup {
         seed,
         settings: config.settings,
-        class_names: fronts.classes.names.clone(),
-        contracts: fronts.contracts.clone(),
+        class_names: listener_context.classes.names.clone(),
+        contracts: listener_context.contracts.clone(),
         memory: memory.clone(),
-        figures: fronts.figures.clone(),
+        figures: listener_context.figures.clone(),
     });
-    // Before the first list: a node that was cordoned is never seen ready.
+    // Before the first list, so that a cordoned node is never taken for ready.
     if let Some(cordons) = cordons {
         broker.take_kept(clock::now(), &cordons);
     }
     let (last, events) = config.known;
-    take_known(&mut broker, events);
-    let feed = Feed {
+    apply_initial_updates(&mut broker, events);
+    let reload = Reload {
         discovery: config.xds.map(|xds| Live::new((xds.server, xds.refresh))),
         coordinator: config.coordinator.map(Live::new),
         memory: memory.clone(),
         settings,
     };
-    if let Some(server) = &feed.discovery {
+    if let Some(server) = &reload.discovery {
         let following = xds::follow(server.clone(), config.name, config.names, news_in, memory.clone());
-        spawn_local(measured(TaskKind::Discovery, following));
-    } else if let Some(address) = &feed.coordinator {
+        spawn_local(track_polls(TaskKind::Discovery, following));
+    } else if let Some(address) = &reload.coordinator {
         let following = coordinator::follow(address.clone(), last, seed, news_in, memory.clone());
-        spawn_local(measured(TaskKind::Discovery, following));
+        spawn_local(track_polls(TaskKind::Discovery, following));
     }
     let inputs =
         Inputs { news, operators, reports, asks, ready: ready.clone(), print: print.clone(), close: closes };
-    let mut core = spawn_local(measured(TaskKind::Broker, broker::run(broker, inputs, commands_in)));
-    // The core ends with the last connection that may ask.
-    let Fronts { listening, mut served, asks, .. } = fronts;
+    let mut broker_task = spawn_local(track_polls(TaskKind::Broker, broker::run(broker, inputs, commands_in)));
+    // The broker ends with the last connection that may send a request.
+    let ListenerContext { listening, mut served, asks, .. } = listener_context;
     drop(asks);
 
     tokio::select! {
-        () = until_terminated(signals, &print, &feed, &config.loaded) => {}
-        ended = &mut core => return ended.map_err(std::io::Error::other),
+        () = handle_signals_until_sigterm(signals, &print, &reload, &config.loaded) => {}
+        result = &mut broker_task => return result.map_err(std::io::Error::other),
     }
-    // Health says no from here on, but whoever comes is still served until the closing window is over and
-    // all that was taken is answered; what would take longer is failed before SIGKILL may come.
+    // Health checks fail from here on. Clients are still served until the closing window is over and all
+    // accepted requests are answered; requests that would take longer fail before SIGKILL may come.
     ready.set(false);
-    let told = clock::now();
-    let killed = told + longest.min(KILL.0) + KILL.1;
-    let _ = close.send(Close::AnswerBy(killed - BEFORE.0));
+    let terminated_at = clock::now();
+    let kill_at = terminated_at + longest_deadline.min(KILL_DEADLINE_MAX_S) + KILL_DELAY_S;
+    let _ = close.send(Close::AnswerBy(kill_at - ANSWERED_BEFORE_KILL_S));
     match succession {
-        Some(succession) => serve_or_hand_over(succession, &listening, told + CLOSING).await,
+        Some(succession) => serve_or_hand_over(succession, &listening, terminated_at + CLOSING_WINDOW_S).await,
         None => {
-            sleep_until(clock::instant(told + CLOSING)).await;
-            // There may be a successor, which could not tell.
+            sleep_until(clock::instant(terminated_at + CLOSING_WINDOW_S)).await;
+            // There may be a successor that has no way to announce itself.
             listening.hand_over();
         }
     }
-    close_connections(&mut served, &listening, killed).await;
+    close_connections(&mut served, &listening, kill_at).await;
     let _ = close.send(Close::WhenAnswered);
-    core.await.map_err(std::io::Error::other)?;
-    write_last_answers(&memory, killed).await;
+    broker_task.await.map_err(std::io::Error::other)?;
+    wait_for_last_answers(&memory, kill_at).await;
     Ok(())
 }
 
-/// Takes in what was known at the start; the first whole list is an earlier one.
-fn take_known(broker: &mut Broker, events: Vec<News>) {
+/// Applies the updates from the configuration; the first full list counts as cached.
+fn apply_initial_updates(broker: &mut Broker, updates: Vec<News>) {
     let mut first = true;
-    for event in events {
-        let cached = first && matches!(event, News::Roster { .. });
+    for update in updates {
+        let cached = first && matches!(update, News::Roster { .. });
         first &= !cached;
-        broker.news(clock::now(), event, cached);
+        broker.news(clock::now(), update, cached);
     }
 }
 
-/// Heeds signals until the process is told to end.
-async fn until_terminated(mut signals: Signals, print: &Notify, feed: &Feed, loaded: &LoadedSettings) {
+/// Handles signals until SIGTERM.
+async fn handle_signals_until_sigterm(mut signals: Signals, print: &Notify, reload: &Reload, loaded: &LoadedSettings) {
     loop {
         tokio::select! {
             Some(()) = signals.terminate.recv() => {
                 #[cfg(feature = "planted")]
-                if onyxyoke::planted::has("deaf") {
+                if onyxyoke::planted::is_set("deaf") {
                     continue;
                 }
                 return;
             }
             Some(()) = signals.usr1.recv() => print.notify_one(),
-            Some(()) = signals.hangup.recv() => feed.reload(loaded),
+            Some(()) = signals.hangup.recv() => reload.apply(loaded),
         }
     }
 }
 
-/// Each connection closes in steps: what was taken from it is answered, and then it ends in order. A process that ended over
-/// open ones would reset those on which something comes just then, with the last answers. One whose client never pauses is
-/// idle only once the core has answered all it took.
-async fn close_connections(served: &mut JoinSet<()>, listening: &ListenerState, killed: f64) {
+/// Closes each connection in steps: its accepted requests are answered, and then it is closed in order. A
+/// process that ended with open connections would reset those on which data arrives just then, and the last
+/// answers would be lost. A connection whose client never pauses is idle only once the broker has answered
+/// all its requests.
+async fn close_connections(served: &mut JoinSet<()>, listening: &ListenerState, kill_at: f64) {
     listening.close();
-    let gone = async { while served.join_next().await.is_some() {} };
+    let all_closed = async { while served.join_next().await.is_some() {} };
     let time_is_up = async {
-        sleep_until(clock::instant(killed - BEFORE.0)).await;
+        sleep_until(clock::instant(kill_at - ANSWERED_BEFORE_KILL_S)).await;
         listening.end();
-        sleep_until(clock::instant(killed - BEFORE.1)).await;
+        sleep_until(clock::instant(kill_at - WRITTEN_BEFORE_KILL_S)).await;
     };
     tokio::select! {
-        () = gone => {}
+        () = all_closed => {}
         () = time_is_up => {}
     }
 }
 
-/// The last answers are with their connections' tasks, which get the time to write them.
-async fn write_last_answers(memory: &Ledger, killed: f64) {
+/// Waits until the connections' tasks have written the last answers, or SIGKILL is near.
+async fn wait_for_last_answers(memory: &Ledger, kill_at: f64) {
     loop {
         sleep_until(clock::instant(clock::now() + 0.05)).await;
-        if memory.accounts().used(Purpose::Unread) == 0 || clock::now() > killed - BEFORE.1 {
+        if memory.accounts().used(Purpose::Unread) == 0 || clock::now() > kill_at - WRITTEN_BEFORE_KILL_S {
             return;
         }
     }
 }
 
-/// Serves until the closing window is over. A successor takes the clients, also one that starts meanwhile: nothing is to wait
-/// for this process at its listener or on an idle connection. One that was ended itself is none: this process takes clients to
-/// the end of the window, as if there had never been another.
-async fn serve_or_hand_over(mut succession: Succession, listening: &ListenerState, until: f64) {
+/// Serves until the closing window is over. A successor gets the clients, also one that starts during the
+/// window: no client may wait for this process at its listener or on an idle connection. A process that is
+/// itself shutting down is no successor: this process then accepts clients to the end of the window.
+async fn serve_or_hand_over(mut succession: Succession, listening: &ListenerState, window_end: f64) {
     let mut handed_over = false;
     loop {
         if !handed_over && succession.another_serves() {
@@ -452,9 +462,9 @@
         }
         succession.withdraw();
         let now = clock::now();
-        if now >= until {
+        if now >= window_end {
             return;
         }
-        sleep_until(clock::instant(until.min(now + SUCCESSOR_CHECK_INTERVAL))).await;
+        sleep_until(clock::instant(window_end.min(now + SUCCESSOR_CHECK_INTERVAL_S))).await;
     }
 }
--- a/src/memory/accounts.rs
+++ b/src/memory/accounts.rs
@@ -1,73 +1,77 @@
-//! The sums: what each account holds, what it may, and whether a further ask fits.
+//! What each account holds, its limits, and whether a further request fits.
 //!
-//! The rule. An account's *commitment* is the larger of its guarantee and of what it holds, where precious bytes
-//! count as its reserve at least: `max(guarantee, ordinary + max(precious, reserve))`. An ask is granted while
-//! the account stays within its cap in the same sense and the commitments of all together within the front's
-//! total. From this follows, whatever the others do: an account may always have its guarantee, precious bytes
-//! may always have their reserve, and the sum of all never exceeds the total.
+//! An account's *commitment* is the larger of its guarantee and of what it holds, where bytes with access to
+//! the reserve (*priority* bytes) count as the reserve at least: `max(guarantee, ordinary + max(priority,
+//! reserve))`. A request is granted while the account stays within its cap in the same sense, and the
+//! commitments of all accounts together within the front's total. It follows that an account can always get
+//! its guarantee, that priority bytes can always get their reserve, and that the sum of all accounts never
+//! exceeds the total, whatever the other accounts hold.
 
 use super::{PURPOSES, Plan, Purpose};
 
-/// An ask that was not granted. Nothing has changed but the account's count of refusals.
+/// The error of a request for memory that was not granted. Only the account's count of refusals has changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Refused {
-    /// Whose account had no room.
+pub struct MemoryRefusal {
+    /// The account that had no room.
     pub purpose: Purpose,
 }
 
 /// What one account holds.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 struct Account {
+    /// Bytes held without access to the reserve.
     ordinary: usize,
-    precious: usize,
+    /// Bytes held with access to the reserve.
+    priority: usize,
     peak: usize,
-    /// Asks that were refused since the start, and at the last turn.
+    /// Requests refused since the start.
     refused: u64,
-    refused_before: u64,
-    /// It refuses, which has been told; turns since its last refusal.
-    told: bool,
-    quiet: u32,
+    /// The value of `refused` at the last tick.
+    refused_at_last_tick: u64,
+    /// Refusals have been reported, and no recovery since.
+    refusal_reported: bool,
+    ticks_since_refusal: u32,
 }
 
 impl Account {
     fn used(&self) -> usize {
-        self.ordinary + self.precious
+        self.ordinary + self.priority
     }
 }
 
-/// An account as it is shown, in bytes.
+/// State of an account for the log and the counters, in bytes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AccountSnapshot {
-    /// Which.
+    /// The account.
     pub purpose: Purpose,
     /// Held now.
     pub now: usize,
-    /// The most that was held at a time.
+    /// The most that was held at any time.
     pub peak: usize,
-    /// It may hold no more.
+    /// Upper limit.
     pub cap: usize,
-    /// It may always hold so much.
+    /// Always available to the account.
     pub guarantee: usize,
-    /// Of that, only for what is precious.
+    /// Part of the guarantee that only priority bytes may use.
     pub reserve: usize,
     /// Held beyond the guarantee, out of the shared remainder.
     pub borrowed: usize,
-    /// Asks that were refused.
+    /// Requests refused since the start.
     pub refused: u64,
 }
 
-/// What is worth a line in the log.
+/// A change of an account that is logged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Notice {
-    /// An account refuses, for the first time since it last recovered.
-    Refuses(AccountSnapshot),
-    /// It has refused nothing for a while.
+    /// The account refused a request, for the first time since it last recovered.
+    RefusalsBegan(AccountSnapshot),
+    /// The account has refused nothing for `RECOVERY_TICKS`.
     Recovered(AccountSnapshot),
 }
 
-/// Turns without a refusal after which an account has recovered.
-const QUIET: u32 = 10;
-/// A holder without a team.
+/// Ticks without a refusal after which an account has recovered.
+const RECOVERY_TICKS: u32 = 10;
+/// Team number of an owner without a team.
 pub(super) const NO_TEAM: u16 = u16::MAX;
 
 /// All accounts of a front.
@@ -75,14 +79,14 @@
 pub struct Accounts {
     plan: Plan,
     accounts: [Account; PURPOSES],
-    /// Held by each team in each account.
+    /// Bytes held by each team in each account.
     teams: Vec<[usize; PURPOSES]>,
     /// Sum of all commitments.
     committed: usize,
 }
 
 impl Accounts {
-    /// Empty accounts under a plan, with so many teams below each.
+    /// Empty accounts under a plan, each with accounts of `teams` teams below it.
     pub fn new(plan: Plan, teams: usize) -> Self {
         let mut accounts = Accounts {
             plan,
@@ -94,13 +98,13 @@
         accounts
     }
 
-    /// What the front is held to.
+    /// The limits in force.
     pub fn plan(&self) -> &Plan {
         &self.plan
     }
 
-    /// Puts other limits in force. Nothing is dropped: an account that holds more than it now may is granted
-    /// nothing until it has fallen.
+    /// Puts other limits in force. Nothing that is held is dropped: an account over its new limits is granted
+    /// nothing until it is below them.
     pub fn replan(&mut self, plan: Plan) {
         self.plan = plan;
         self.committed = Purpose::ALL.iter().map(|&p| self.commitment(p)).sum();
@@ -108,33 +112,34 @@
 
     fn commitment(&self, purpose: Purpose) -> usize {
         let (account, limit) = (&self.accounts[purpose as usize], &self.plan.limits[purpose as usize]);
-        limit.guarantee.max(account.ordinary + account.precious.max(limit.reserve))
+        limit.guarantee.max(account.ordinary + account.priority.max(limit.reserve))
     }
 
-    /// Books further bytes, or refuses and books nothing.
-    pub(super) fn take(
+    /// Adds bytes to an account, or refuses and adds nothing.
+    pub(super) fn book(
         &mut self,
         purpose: Purpose,
         team: u16,
-        precious: bool,
+        may_use_reserve: bool,
         bytes: usize,
-    ) -> Result<(), Refused> {
+    ) -> Result<(), MemoryRefusal> {
         let at = purpose as usize;
         let (before, account, limit) = (self.commitment(purpose), self.accounts[at], self.plan.limits[at]);
-        let add = |part: usize, mine: bool| if mine { part.saturating_add(bytes) } else { part };
-        let (ordinary, held) = (add(account.ordinary, !precious), add(account.precious, precious));
-        let wanted = ordinary.saturating_add(held.max(limit.reserve));
+        let add = |held: usize, applies: bool| if applies { held.saturating_add(bytes) } else { held };
+        let ordinary = add(account.ordinary, !may_use_reserve);
+        let priority = add(account.priority, may_use_reserve);
+        let wanted = ordinary.saturating_add(priority.max(limit.reserve));
         let committed = (self.committed - before).saturating_add(limit.guarantee.max(wanted));
-        // What does not raise the sum of commitments is inside a guarantee or a reserve, and always fits; the reserve
-        // is to be had even where others still hold more than a cap that was cut.
-        let room = wanted <= limit.cap && (committed <= self.plan.total || committed <= self.committed)
-            || precious && held <= limit.reserve;
-        let share = self.teams.get(usize::from(team)).map_or(0, |t| t[at].saturating_add(bytes));
-        if !room || share > self.plan.team_cap(purpose) {
+        // A request that does not raise the sum of commitments is within a guarantee or a reserve and always
+        // fits. The reserve is available even while other accounts hold more than a cap that was lowered.
+        let fits = wanted <= limit.cap && (committed <= self.plan.total || committed <= self.committed)
+            || may_use_reserve && priority <= limit.reserve;
+        let team_used = self.teams.get(usize::from(team)).map_or(0, |t| t[at].saturating_add(bytes));
+        if !fits || team_used > self.plan.team_cap(purpose) {
             return Err(self.refuse(purpose));
         }
         let account = &mut self.accounts[at];
-        (account.ordinary, account.precious) = (ordinary, held);
+        (account.ordinary, account.priority) = (ordinary, priority);
         account.peak = account.peak.max(account.used());
         if let Some(team) = self.teams.get_mut(usize::from(team)) {
             team[at] += bytes;
@@ -144,27 +149,28 @@
     }
 
     /// Counts a refusal.
-    pub(super) fn refuse(&mut self, purpose: Purpose) -> Refused {
+    pub(super) fn refuse(&mut self, purpose: Purpose) -> MemoryRefusal {
         self.accounts[purpose as usize].refused += 1;
-        Refused { purpose }
+        MemoryRefusal { purpose }
     }
 
-    /// Books bytes back. Only a [`super::Grant`] calls this, with what it was granted.
-    pub(super) fn give_back(&mut self, purpose: Purpose, team: u16, precious: bool, bytes: usize) {
+    /// Removes bytes from an account. Only a [`super::Grant`] calls this, with bytes that it was granted.
+    pub(super) fn release(&mut self, purpose: Purpose, team: u16, may_use_reserve: bool, bytes: usize) {
         let (at, before) = (purpose as usize, self.commitment(purpose));
         let account = &mut self.accounts[at];
-        let part = if precious { &mut account.precious } else { &mut account.ordinary };
-        debug_assert!(*part >= bytes, "{} gets back more than it gave", purpose.name());
-        *part = part.saturating_sub(bytes);
+        let held = if may_use_reserve { &mut account.priority } else { &mut account.ordinary };
+        debug_assert!(*held >= bytes, "{} is released more than it holds", purpose.name());
+        *held = held.saturating_sub(bytes);
         if let Some(team) = self.teams.get_mut(usize::from(team)) {
-            debug_assert!(team[at] >= bytes, "a team gives back more than it had");
+            debug_assert!(team[at] >= bytes, "a team releases more than it holds");
             team[at] = team[at].saturating_sub(bytes);
         }
         self.committed = self.committed - before + self.commitment(purpose);
     }
 
-    /// Sets what was observed of the program itself. It cannot be refused: what it takes beyond its guarantee
-    /// is missing in the shared remainder, so that the others are refused before the front's total is broken.
+    /// Sets the observed memory of the program itself, which cannot be refused. What it takes beyond its
+    /// guarantee reduces the shared remainder, so that the other accounts are refused before the front's
+    /// total is exceeded.
     pub fn observe(&mut self, bytes: usize) {
         let (purpose, at) = (Purpose::Program, Purpose::Program as usize);
         let before = self.commitment(purpose);
@@ -178,31 +184,31 @@
         self.accounts[purpose as usize].used()
     }
 
-    /// Bytes that a team holds of an account.
+    /// Bytes that a team holds in an account.
     pub fn used_by(&self, purpose: Purpose, team: u16) -> usize {
         self.teams.get(usize::from(team)).map_or(0, |t| t[purpose as usize])
     }
 
-    /// Bytes that all accounts hold, the program's among them.
+    /// Bytes that all accounts hold, including that of the program.
     pub fn sum(&self) -> usize {
         self.accounts.iter().map(Account::used).sum()
     }
 
-    /// Bytes of the shared remainder that nobody has, and all of it.
+    /// Free bytes of the shared remainder, and its size.
     pub fn remainder(&self) -> (usize, usize) {
         let guaranteed: usize = self.plan.limits.iter().map(|l| l.guarantee).sum();
         (self.plan.total.saturating_sub(self.committed), self.plan.total.saturating_sub(guaranteed))
     }
 
-    /// How full an account is, of what all but the precious may have of it.
+    /// Used share of the part of an account's cap that is not reserved.
     pub fn fullness(&self, purpose: Purpose) -> f64 {
         let (account, limit) = (&self.accounts[purpose as usize], &self.plan.limits[purpose as usize]);
-        let spent = account.ordinary + account.precious.saturating_sub(limit.reserve);
+        let spent = account.ordinary + account.priority.saturating_sub(limit.reserve);
         spent as f64 / limit.cap.saturating_sub(limit.reserve).max(1) as f64
     }
 
-    /// One account as it is shown.
-    pub fn sight(&self, purpose: Purpose) -> AccountSnapshot {
+    /// The state of an account.
+    pub fn snapshot(&self, purpose: Purpose) -> AccountSnapshot {
         let (a, limit) = (&self.accounts[purpose as usize], &self.plan.limits[purpose as usize]);
         AccountSnapshot {
             purpose,
@@ -216,22 +222,23 @@
         }
     }
 
-    /// A turn of the clock, two to ten a second: which accounts began to refuse since the last, and which have
-    /// refused nothing for `QUIET` turns and count as recovered.
-    pub fn turn(&mut self) -> Vec<Notice> {
+    /// Returns the accounts that began to refuse since the last tick, and those that have recovered. Ticks
+    /// come two to ten times a second.
+    pub fn tick(&mut self) -> Vec<Notice> {
         let mut notices = Vec::new();
         for purpose in Purpose::ALL {
-            let sight = self.sight(purpose);
+            let snapshot = self.snapshot(purpose);
             let account = &mut self.accounts[purpose as usize];
-            let fresh = account.refused > account.refused_before;
-            account.refused_before = account.refused;
-            account.quiet = if fresh { 0 } else { account.quiet.saturating_add(1) };
-            if fresh && !account.told {
-                account.told = true;
-                notices.push(Notice::Refuses(sight));
-            } else if account.told && account.quiet >= QUIET {
-                account.told = false;
-                notices.push(Notice::Recovered(sight));
+            let has_refused = account.refused > account.refused_at_last_tick;
+            account.refused_at_last_tick = account.refused;
+            account.ticks_since_refusal =
+                if has_refused { 0 } else { account.ticks_since_refusal.saturating_add(1) };
+            if has_refused && !account.refusal_reported {
+                account.refusal_reported = true;
+                notices.push(Notice::RefusalsBegan(snapshot));
+            } else if account.refusal_reported && account.ticks_since_refusal >= RECOVERY_TICKS {
+                account.refusal_reported = false;
+                notices.push(Notice::Recovered(snapshot));
             }
         }
         notices
--- a/src/memory/grant.rs
+++ b/src/memory/grant.rs
@@ -1,40 +1,42 @@
-//! Grants: memory that was asked for and may be used. A grant only moves; when it is dropped, whatever the path,
-//! its bytes are back.
+//! Grants: memory that was acquired and may be used. A grant is moved, never copied, and releases its bytes
+//! when it is dropped, on every path.
 
 use super::accounts::NO_TEAM;
-use super::{Accounts, Finding, Level, Notice, Plan, Pressure, Purpose, Refused, ResidentMemoryAudit, Seen};
+use super::{
+    Accounts, AuditFinding, Level, MemoryRefusal, Notice, Plan, Pressure, ProcessMemory, Purpose, ResidentMemoryAudit,
+};
 use std::cell::{Cell, Ref, RefCell, RefMut};
 use std::fmt;
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// For what, and for whom, memory is asked.
+/// The account, team and priority under which memory is acquired.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AccountOwner {
     /// The account.
     pub purpose: Purpose,
-    /// The team below it, by its place in the contracts.
+    /// The team below the account, by its index in the contracts.
     pub team: Option<u16>,
-    /// It may have the reserve: for classes that are never kept, and for what is begun.
-    pub precious: bool,
+    /// Whether the reserve is available: for classes that are never kept, and for work that has begun.
+    pub may_use_reserve: bool,
 }
 
 impl AccountOwner {
-    /// Nobody's in particular.
+    /// An owner without a team and without access to the reserve.
     pub fn of(purpose: Purpose) -> Self {
-        AccountOwner { purpose, team: None, precious: false }
+        AccountOwner { purpose, team: None, may_use_reserve: false }
     }
 }
 
 struct Shared {
     accounts: RefCell<Accounts>,
     pressure: RefCell<Pressure>,
-    /// The level that held at the last look, at hand for every buffer.
+    /// The level at the last update, for checks by every buffer.
     level: Cell<Level>,
-    /// Idle connections are to be closed from now on.
+    /// Notified when the level rises to [`Level::CloseIdle`] or above.
     became_scarce: Notify,
-    truth: RefCell<ResidentMemoryAudit>,
-    /// Client connections that are open.
+    audit: RefCell<ResidentMemoryAudit>,
+    /// Number of open client connections.
     clients: Cell<usize>,
 }
 
@@ -43,36 +45,36 @@
 pub struct Ledger(Rc<Shared>);
 
 impl Ledger {
-    /// Accounts under a plan, with so many teams below each.
+    /// Empty accounts under a plan, each with accounts of `teams` teams below it.
     pub fn new(plan: Plan, teams: usize) -> Self {
         Ledger(Rc::new(Shared {
             accounts: RefCell::new(Accounts::new(plan, teams)),
             pressure: RefCell::default(),
             level: Cell::default(),
             became_scarce: Notify::new(),
-            truth: RefCell::default(),
+            audit: RefCell::default(),
             clients: Cell::default(),
         }))
     }
 
-    /// Accounts that refuse nothing, for what runs outside of a front.
+    /// Accounts that refuse nothing, for code that runs outside of a front.
     pub fn unlimited() -> Self {
         Ledger::new(Plan::unlimited(), 0)
     }
 
-    /// The sums as they stand.
+    /// The accounts.
     pub fn accounts(&self) -> Ref<'_, Accounts> {
         self.0.accounts.borrow()
     }
 
-    /// For the one task that turns, observes and plans anew.
+    /// The accounts, for the task that updates them.
     pub fn accounts_mut(&self) -> RefMut<'_, Accounts> {
         self.0.accounts.borrow_mut()
     }
 
-    /// The level that holds now.
-    pub fn level(&self) -> Level {
-        let level = self.0.pressure.borrow_mut().look(&self.accounts());
+    /// Updates the pressure level from the accounts and returns it.
+    pub fn update_level(&self) -> Level {
+        let level = self.0.pressure.borrow_mut().update(&self.accounts());
         let before = self.0.level.replace(level);
         if before < Level::CloseIdle && level >= Level::CloseIdle {
             self.0.became_scarce.notify_waiters();
@@ -80,82 +82,82 @@
         level
     }
 
-    /// Waits until idle connections are to be closed that were not before.
-    pub async fn became_scarce(&self) {
+    /// Waits until the level rises to [`Level::CloseIdle`] or above.
+    pub async fn wait_until_scarce(&self) {
         self.0.became_scarce.notified().await;
     }
 
-    /// May a request of so many bytes be taken now?
-    pub fn admits(&self, bytes: usize, precious: bool) -> bool {
-        self.level();
-        self.0.pressure.borrow().admits(&self.accounts(), bytes, precious)
+    /// Returns whether a request of this size may be admitted now.
+    pub fn admits(&self, bytes: usize, may_use_reserve: bool) -> bool {
+        self.update_level();
+        self.0.pressure.borrow().admits(&self.accounts(), bytes, may_use_reserve)
     }
 
-    /// Is a client that has left so many bytes unread to be read from, and to be given more?
+    /// Returns whether a client with this many unread bytes may be read from and sent more.
     pub fn may_read(&self, unread: usize) -> bool {
         unread == 0 || self.0.pressure.borrow().may_read(&self.accounts(), unread, self.0.clients.get())
     }
 
-    /// How many of so many idle connections are to be closed in this turn.
-    pub fn closes(&self, idle: usize) -> usize {
-        self.0.pressure.borrow().closes(idle)
+    /// The number of `idle` connections to close now.
+    pub fn idle_connections_to_close(&self, idle: usize) -> usize {
+        self.0.pressure.borrow().idle_connections_to_close(idle)
     }
 
-    /// A turn: this was seen of the process. What is worth a line in the log.
-    pub fn turn(&self, seen: Seen) -> (Finding, Vec<Notice>) {
-        let finding = self.0.truth.borrow_mut().look(&mut self.accounts_mut(), seen);
-        self.level();
-        (finding, self.accounts_mut().turn())
+    /// Audits the accounts against the memory of the process, updates the level, and returns what to log.
+    pub fn update(&self, memory: ProcessMemory) -> (AuditFinding, Vec<Notice>) {
+        let finding = self.0.audit.borrow_mut().audit(&mut self.accounts_mut(), memory);
+        self.update_level();
+        (finding, self.accounts_mut().tick())
     }
 
-    /// Puts other limits in force ([`Accounts::replan`]), and judges anew how scarce memory is under them.
+    /// Puts other limits in force ([`Accounts::replan`]) and determines the level anew under them.
     pub fn replan(&self, plan: Plan) {
         self.accounts_mut().replan(plan);
         self.0.pressure.borrow_mut().reset();
-        self.level();
+        self.update_level();
     }
 
-    /// A client connected, or left.
-    pub fn clients(&self, change: isize) {
+    /// Adds to the number of open client connections.
+    pub fn adjust_client_count(&self, change: isize) {
         self.0.clients.set(self.0.clients.get().saturating_add_signed(change));
     }
 
-    /// Asks for so many bytes.
-    pub fn ask(&self, holder: AccountOwner, bytes: usize) -> Result<Grant, Refused> {
-        let mut grant = self.empty(holder);
+    /// Acquires memory, or fails without effect if the account has no room.
+    pub fn acquire(&self, owner: AccountOwner, bytes: usize) -> Result<Grant, MemoryRefusal> {
+        let mut grant = self.empty_grant(owner);
         grant.grow(bytes)?;
         Ok(grant)
     }
 
-    /// Counts a refusal that the pressure asked for, though the account itself has room.
-    pub fn refuse(&self, purpose: Purpose) -> Refused {
+    /// Counts a refusal that is due to the pressure level rather than to the account.
+    pub fn count_refusal(&self, purpose: Purpose) -> MemoryRefusal {
         self.accounts_mut().refuse(purpose)
     }
 
-    /// A grant of nothing yet, which may grow.
-    pub fn empty(&self, holder: AccountOwner) -> Grant {
-        let (team, precious) = (holder.team.unwrap_or(NO_TEAM), holder.precious);
-        Grant { ledger: Some(self.clone()), purpose: holder.purpose, team, precious, bytes: 0, leaf: None }
+    /// An empty grant, which may grow.
+    pub fn empty_grant(&self, owner: AccountOwner) -> Grant {
+        let (team, may_use_reserve) = (owner.team.unwrap_or(NO_TEAM), owner.may_use_reserve);
+        Grant { ledger: Some(self.clone()), purpose: owner.purpose, team, may_use_reserve, bytes: 0, counter: None }
     }
 }
 
-/// As the counters show it: sizes in bytes, by account.
+/// The line of counters: sizes in bytes, by account.
 impl fmt::Display for Ledger {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let (accounts, seen) = (self.accounts(), self.0.truth.borrow().seen());
+        let (accounts, process) = (self.accounts(), self.0.audit.borrow().last());
         let (free, shared) = accounts.remainder();
         write!(
             f,
             "memory total={} held={} resident={} active={} heap={} shared={shared} free={free} level={}",
             accounts.plan().total,
             accounts.sum(),
-            seen.resident,
-            seen.active,
-            seen.heap,
+            process.resident,
+            process.active,
+            process.heap,
             self.0.level.get().name()
         )?;
         for purpose in Purpose::ALL {
-            let s = accounts.sight(purpose);
+            let s = accounts.snapshot(purpose);
             let name = purpose.name();
             write!(f, " {name}.now={} {name}.peak={} {name}.cap={}", s.now, s.peak, s.cap)?;
             write!(f, " {name}.guarantee={} {name}.reserve={}", s.guarantee, s.reserve)?;
@@ -166,81 +168,81 @@
     }
 }
 
-/// Bytes that may be used until this is dropped.
+/// Memory that may be used until the grant is dropped.
 pub struct Grant {
     ledger: Option<Ledger>,
     purpose: Purpose,
     team: u16,
-    precious: bool,
+    may_use_reserve: bool,
     bytes: usize,
-    /// A leaf of the tree: what one client holds, where that counts.
-    leaf: Option<Rc<Cell<usize>>>,
+    /// A further count of these bytes, for the sum that one client holds.
+    counter: Option<Rc<Cell<usize>>>,
 }
 
 impl Default for Grant {
-    /// Nothing, of no account; it cannot grow.
+    /// An empty grant without an account; it cannot grow.
     fn default() -> Self {
         Grant {
             ledger: None,
             purpose: Purpose::Program,
             team: NO_TEAM,
-            precious: false,
+            may_use_reserve: false,
             bytes: 0,
-            leaf: None,
+            counter: None,
         }
     }
 }
 
 impl Grant {
-    /// How many bytes.
+    /// Size in bytes.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Counts its bytes in a leaf too, from now on.
-    pub fn counted_in(mut self, leaf: Rc<Cell<usize>>) -> Self {
-        leaf.set(leaf.get() + self.bytes);
-        self.leaf = Some(leaf);
+    /// Counts the bytes of this grant in `counter` as well, from now on.
+    pub fn counted_in(mut self, counter: Rc<Cell<usize>>) -> Self {
+        counter.set(counter.get() + self.bytes);
+        self.counter = Some(counter);
         self
     }
 
-    fn count(&self, more: usize, less: usize) {
-        if let Some(leaf) = &self.leaf {
-            leaf.set(leaf.get() + more - less);
+    fn adjust_counter(&self, more: usize, less: usize) {
+        if let Some(counter) = &self.counter {
+            counter.set(counter.get() + more - less);
         }
     }
 
-    /// Is memory so scarce that idle buffers are released?
-    pub fn pressed(&self) -> bool {
+    /// Returns whether memory is so scarce that idle buffers are to be released.
+    pub fn should_release_buffers(&self) -> bool {
         self.ledger.as_ref().is_some_and(|l| l.0.level.get() >= Level::Compact)
     }
 
-    /// Asks for more.
-    pub fn grow(&mut self, more: usize) -> Result<(), Refused> {
+    /// Acquires `more` bytes, or fails without effect.
+    pub fn grow(&mut self, more: usize) -> Result<(), MemoryRefusal> {
         match &self.ledger {
             _ if more == 0 => Ok(()),
-            None => Err(Refused { purpose: self.purpose }),
+            None => Err(MemoryRefusal { purpose: self.purpose }),
             Some(ledger) => {
-                ledger.accounts_mut().take(self.purpose, self.team, self.precious, more)?;
+                ledger.accounts_mut().book(self.purpose, self.team, self.may_use_reserve, more)?;
                 self.bytes += more;
-                self.count(more, 0);
+                self.adjust_counter(more, 0);
                 Ok(())
             }
         }
     }
 
-    /// Gives some back, or all if it has less.
+    /// Releases `less` bytes, or all if there are fewer.
     pub fn shrink(&mut self, less: usize) {
         let less = less.min(self.bytes);
         self.bytes -= less;
-        self.count(0, less);
+        self.adjust_counter(0, less);
         if let Some(ledger) = self.ledger.as_ref().filter(|_| less > 0) {
-            ledger.accounts_mut().give_back(self.purpose, self.team, self.precious, less);
+            ledger.accounts_mut().release(self.purpose, self.team, self.may_use_reserve, less);
         }
     }
 
-    /// Grows or shrinks to so many bytes; unchanged where it is refused.
-    pub fn resize(&mut self, bytes: usize) -> Result<(), Refused> {
+    /// Grows or shrinks to `bytes`; unchanged if growth is refused.
+    pub fn resize(&mut self, bytes: usize) -> Result<(), MemoryRefusal> {
         match bytes.checked_sub(self.bytes) {
             Some(more) => self.grow(more),
             None => {
@@ -250,35 +252,35 @@
         }
     }
 
-    /// Takes so many bytes off into a grant of their own, or all if it has less.
+    /// Moves `bytes`, or all if there are fewer, into a new grant.
     pub fn split(&mut self, bytes: usize) -> Grant {
         let bytes = bytes.min(self.bytes);
         self.bytes -= bytes;
-        let leaf = self.leaf.clone();
+        let counter = self.counter.clone();
         Grant {
             ledger: self.ledger.clone(),
             purpose: self.purpose,
             team: self.team,
-            precious: self.precious,
+            may_use_reserve: self.may_use_reserve,
             bytes,
-            leaf,
+            counter,
         }
     }
 
-    /// Adds another of the same holder; one of another holder comes back unchanged.
+    /// Merges a grant of the same owner and counter; another grant is returned unchanged.
     pub fn join(&mut self, mut other: Grant) -> Result<(), Grant> {
-        let same = match (&self.ledger, &other.ledger) {
+        let same_ledger = match (&self.ledger, &other.ledger) {
             (Some(a), Some(b)) => Rc::ptr_eq(&a.0, &b.0),
             _ => false,
         };
-        let leaf = match (&self.leaf, &other.leaf) {
+        let same_counter = match (&self.counter, &other.counter) {
             (Some(a), Some(b)) => Rc::ptr_eq(a, b),
             (None, None) => true,
             _ => false,
         };
-        if !same
-            || !leaf
-            || (self.purpose, self.team, self.precious) != (other.purpose, other.team, other.precious)
+        if !same_ledger
+            || !same_counter
+            || (self.purpose, self.team, self.may_use_reserve) != (other.purpose, other.team, other.may_use_reserve)
         {
             return Err(other);
         }
@@ -299,7 +301,7 @@
     }
 }
 
-/// What two requests or answers hold has no part in whether they are the same.
+/// Grants are equal, so that the memory of two requests or answers does not count in their comparison.
 impl PartialEq for Grant {
     fn eq(&self, _: &Self) -> bool {
         true
--- a/src/memory/grant/tests.rs
+++ b/src/memory/grant/tests.rs
@@ -1,37 +1,37 @@
 //! Tests of `grant.rs`.
 
-use crate::memory::{AccountLimits, AccountOwner, Ledger, Level, PURPOSES, Plan, Purpose};
+use crate::memory::{LimitOverrides, AccountOwner, Ledger, Level, PURPOSES, Plan, Purpose};
 
-/// What `limits.memory_mb = 32` gives, with this as the cap of what clients leave unread (bytes).
+/// The plan of `limits.memory_mb = 32` with this cap of the unread answers (bytes).
 fn plan(unread_cap: usize) -> Plan {
-    let mut limits = [AccountLimits::default(); PURPOSES];
+    let mut limits = [LimitOverrides::default(); PURPOSES];
     limits[Purpose::Unread as usize].cap = Some(unread_cap);
     Plan::new(32_000_000, &limits, 1.0).unwrap()
 }
 
-/// A level that was entered while a cap was cut ends with the cut, even where so much is free that the level, once
-/// entered under these limits, would stay.
+/// A level that was entered while a cap was lowered must end when the cap is restored, even at a free share
+/// at which the hysteresis would keep a level that was entered under the restored limits.
 #[test]
-fn a_level_entered_under_former_limits_ends_with_them() {
+fn level_entered_under_former_limits_ends_with_them() {
     const REQUEST: usize = 2048;
-    let (usual, cut) = (plan(3_000_000), plan(10_000));
-    let ledger = Ledger::new(usual, 0);
-    let unread = ledger.ask(AccountOwner::of(Purpose::Unread), 1_440_000).unwrap();
-    // As read in a front whose program's file was mapped in large pieces.
+    let (normal, lowered) = (plan(3_000_000), plan(10_000));
+    let ledger = Ledger::new(normal, 0);
+    let unread = ledger.acquire(AccountOwner::of(Purpose::Unread), 1_440_000).unwrap();
+    // Observed on a front whose executable was mapped in large pages.
     ledger.accounts_mut().observe(15_350_000);
-    ledger.replan(cut);
+    ledger.replan(lowered);
     assert_eq!(ledger.level(), Level::ReserveOnly);
     assert!(!ledger.admits(REQUEST, false));
     drop(unread);
-    ledger.replan(usual);
+    ledger.replan(normal);
     let (free, shared) = ledger.accounts().remainder();
     let share = free as f64 / shared as f64;
-    assert!(0.05 < share && share < 0.15, "not where a level is kept that was entered: {share}");
+    assert!(0.05 < share && share < 0.15, "not within the hysteresis of the level: {share}");
     assert!(ledger.level() < Level::ReserveOnly);
     assert!(ledger.admits(REQUEST, false));
-    // Other limits are no way out of a level that is due under them.
+    // A change of limits does not end a level that is due under the new limits.
     ledger.accounts_mut().observe(16_000_000);
-    ledger.replan(cut);
-    ledger.replan(usual);
+    ledger.replan(lowered);
+    ledger.replan(normal);
     assert_eq!(ledger.level(), Level::ReserveOnly);
 }
--- a/src/memory/mod.rs
+++ b/src/memory/mod.rs
@@ -1,9 +1,10 @@
-//! Memory by purpose: an account, a guarantee and a cap for each use of a front's memory. It opens nothing and
-//! reads no clock; the one task that owns the front's sums asks the system and hands in what it says.
+//! Memory accounts: an account with a guarantee and a cap for each purpose of a front's memory. There is no
+//! I/O and no clock here; the task that owns the accounts samples the system's figures and passes them in.
 //!
-//! Memory is asked for before it is used ([`Ledger::ask`]). What is granted is a value, [`Grant`], that only moves
-//! and gives back when it is dropped, so that no path can leak or give back twice. Accounts form a tree: the
-//! front, its purposes, and below each purpose the teams, where there are any.
+//! Memory is requested before it is used ([`Ledger::acquire`]). A granted request is a value, [`Grant`], that
+//! can be moved but not copied and releases its bytes when it is dropped, so that no path can leak them or
+//! release them twice. The accounts form a tree: the front, its purposes, and below each purpose the teams,
+//! where there are any.
 
 mod accounts;
 mod grant;
@@ -11,15 +12,15 @@
 mod model;
 mod plan;
 mod pressure;
-mod truth;
+mod resident_audit;
 
-pub use accounts::{AccountSnapshot, Accounts, Notice, Refused};
+pub use accounts::{AccountSnapshot, Accounts, MemoryRefusal, Notice};
 pub use grant::{AccountOwner, Grant, Ledger};
-pub use plan::{AccountLimits, Limit, Plan};
+pub use plan::{Limit, LimitOverrides, Plan};
 pub use pressure::{Level, Pressure, Thresholds};
-pub use truth::{Finding, ResidentMemoryAudit, Seen};
+pub use resident_audit::{AuditFinding, ProcessMemory, ResidentMemoryAudit};
 
-/// Accounts below the front's.
+/// Number of purposes, and so of accounts below the front's.
 pub const PURPOSES: usize = 9;
 
 /// What memory is used for.
@@ -30,24 +31,24 @@
     Clients,
     /// Connections to cache nodes: their tasks and buffers.
     Caches,
-    /// Request bodies, while they come and until their request is over.
+    /// Request bodies, from their first byte to the end of their request.
     Bodies,
-    /// Answers of cache nodes that have come in part.
+    /// Answers of cache nodes that have been received in part.
     Partial,
-    /// Answers that clients have not read.
+    /// Answers that clients have not yet read.
     Unread,
-    /// Waiting requests: the open table, the queues between tasks, timers.
+    /// Waiting requests: the table of open requests, the queues between tasks, timers.
     Waiting,
     /// Learned state: the director's tables, the list of nodes, purges.
     Learned,
-    /// The second front: heads, tokens, keys, compiled expressions.
+    /// Signed links: request heads, tokens, keys, compiled expressions.
     Signed,
-    /// The program itself, and all that no other account knows of: observed, never asked for.
+    /// The program itself and all memory that is in no other account: observed, never requested.
     Program,
 }
 
 impl Purpose {
-    /// All, in the order in which they are shown.
+    /// All purposes, in the order of the counters.
     pub const ALL: [Purpose; PURPOSES] = [
         Purpose::Clients,
         Purpose::Caches,
@@ -60,7 +61,7 @@
         Purpose::Program,
     ];
 
-    /// Its name in configuration, counters and log lines.
+    /// The name in configuration, counters and log lines.
     pub fn name(self) -> &'static str {
         match self {
             Purpose::Clients => "clients",
--- a/src/memory/plan.rs
+++ b/src/memory/plan.rs
@@ -1,44 +1,45 @@
-//! Caps, guarantees and reserves of the accounts: from what the operator wishes, checked as a whole.
+//! Caps, guarantees and reserves of the accounts, derived from the total and the operator's settings and
+//! checked together.
 
 use super::{PURPOSES, Purpose};
 
-/// What one account is held to, in bytes: `reserve <= guarantee <= cap`.
+/// Limits of one account in bytes: `reserve <= guarantee <= cap`.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Limit {
-    /// It may always hold so much.
+    /// Always available to the account.
     pub guarantee: usize,
-    /// It never holds more.
+    /// Upper limit.
     pub cap: usize,
-    /// Of the guarantee: only for what is precious.
+    /// Part of the guarantee that only owners with access to the reserve may use.
     pub reserve: usize,
 }
 
-/// What a front's memory is held to.
+/// Limits of a front's memory.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Plan {
-    /// All accounts together (bytes).
+    /// Upper limit of all accounts together (bytes).
     pub total: usize,
-    /// By purpose.
+    /// Limits of the accounts, by purpose.
     pub limits: [Limit; PURPOSES],
     /// Share of each cap that one team may hold.
     pub team_share: f64,
 }
 
-/// What the operator wishes for one account; what is left out is set from the total.
+/// The operator's settings for one account in bytes; limits that are left out follow from the total.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct AccountLimits {
-    /// In bytes.
+pub struct LimitOverrides {
+    /// Sets [`Limit::guarantee`].
     pub guarantee: Option<usize>,
-    /// In bytes.
+    /// Sets [`Limit::cap`].
     pub cap: Option<usize>,
-    /// In bytes.
+    /// Sets [`Limit::reserve`].
     pub reserve: Option<usize>,
 }
 
-/// Shares of the total where nothing is wished: guarantee, cap, reserve. Guarantees are sized for the usual hour
-/// and leave a quarter to be borrowed; caps are what one use may come to in its worst hour. Reserves hold some
-/// dozens of holds with their bodies, and the answers to them.
-fn usual(purpose: Purpose) -> (f64, f64, f64) {
+/// Default shares of the total: guarantee, cap, reserve. Guarantees are sized for the usual hour and leave a
+/// quarter to be borrowed; caps are sized for the worst hour of one purpose. Reserves have room for some
+/// dozens of holds with their bodies, and for the answers to them.
+fn default_shares(purpose: Purpose) -> (f64, f64, f64) {
     match purpose {
         Purpose::Clients => (0.12, 0.30, 0.0),
         Purpose::Caches => (0.10, 0.20, 0.0),
@@ -52,44 +53,44 @@
     }
 }
 
-/// The reserve of the second front is enough for checking one token, as far as a sixteenth of the total is (bytes).
-const SIGNED_LEAST: usize = 640_000;
-/// The program and its allocator take so much whatever the total is (bytes).
-const PROGRAM_LEAST: usize = 8_000_000;
+/// Least reserve for signed links, enough to check one token; at most a sixteenth of the total (bytes).
+const SIGNED_RESERVE_MIN: usize = 640_000;
+/// Memory that the program and its allocator take whatever the total is (bytes).
+const PROGRAM_BYTES_MIN: usize = 8_000_000;
 
 impl Plan {
-    /// A plan for so many bytes, with what the operator wishes of each account. An error names the keys that do
-    /// not fit together, and the sums.
-    pub fn new(total: usize, wishes: &[AccountLimits; PURPOSES], team_share: f64) -> Result<Plan, String> {
-        // Where the program's least is over its share, the others share what it leaves.
-        let least = PROGRAM_LEAST.min(total / 2);
-        let program = least.max((total as f64 * usual(Purpose::Program).0) as usize);
-        let shared = (total - program) as f64 / (1.0 - usual(Purpose::Program).0);
-        let of = |share: f64| (shared * share) as usize;
+    /// A plan for `total` bytes with the operator's settings of each account. The error names the settings
+    /// that do not fit together, and their values.
+    pub fn new(total: usize, overrides: &[LimitOverrides; PURPOSES], team_share: f64) -> Result<Plan, String> {
+        // Where the program takes more than its share, the other accounts share what remains.
+        let program_min = PROGRAM_BYTES_MIN.min(total / 2);
+        let program = program_min.max((total as f64 * default_shares(Purpose::Program).0) as usize);
+        let shared = (total - program) as f64 / (1.0 - default_shares(Purpose::Program).0);
+        let bytes_of = |share: f64| (shared * share) as usize;
         let mut limits = [Limit::default(); PURPOSES];
         for purpose in Purpose::ALL {
-            let (wish, (guarantee, cap, reserve)) = (&wishes[purpose as usize], usual(purpose));
+            let (set, (guarantee, cap, reserve)) = (&overrides[purpose as usize], default_shares(purpose));
             let mut limit = match purpose {
-                Purpose::Program => Limit { guarantee: program, cap: of(cap).max(2 * least), reserve: 0 },
+                Purpose::Program => Limit { guarantee: program, cap: bytes_of(cap).max(2 * program_min), reserve: 0 },
                 Purpose::Signed => {
-                    let reserve = of(reserve).max(SIGNED_LEAST.min(total / 16));
-                    Limit { guarantee: of(guarantee).max(reserve), cap: of(cap).max(2 * reserve), reserve }
+                    let reserve = bytes_of(reserve).max(SIGNED_RESERVE_MIN.min(total / 16));
+                    Limit { guarantee: bytes_of(guarantee).max(reserve), cap: bytes_of(cap).max(2 * reserve), reserve }
                 }
-                _ => Limit { guarantee: of(guarantee), cap: of(cap), reserve: of(reserve) },
+                _ => Limit { guarantee: bytes_of(guarantee), cap: bytes_of(cap), reserve: bytes_of(reserve) },
             };
-            // What is set draws along what is not: a lower cap lowers guarantee and reserve in
-            // proportion, a guarantee lifts the cap.
-            if let Some(cap) = wish.cap {
+            // A setting adjusts the limits that are not set: a lower cap lowers guarantee and reserve in
+            // proportion, a guarantee raises the cap.
+            if let Some(cap) = set.cap {
                 let scale =
-                    |of: usize| (of as f64 * (cap as f64 / limit.cap.max(1) as f64).min(1.0)) as usize;
+                    |limit_bytes: usize| (limit_bytes as f64 * (cap as f64 / limit.cap.max(1) as f64).min(1.0)) as usize;
                 limit = Limit { cap, guarantee: scale(limit.guarantee), reserve: scale(limit.reserve) };
             }
-            if let Some(guarantee) = wish.guarantee {
+            if let Some(guarantee) = set.guarantee {
                 limit.guarantee = guarantee;
-                limit.cap = if wish.cap.is_some() { limit.cap } else { limit.cap.max(guarantee) };
+                limit.cap = if set.cap.is_some() { limit.cap } else { limit.cap.max(guarantee) };
                 limit.reserve = limit.reserve.min(guarantee);
             }
-            limit.reserve = wish.reserve.unwrap_or(limit.reserve);
+            limit.reserve = set.reserve.unwrap_or(limit.reserve);
             let name = purpose.name();
             if limit.cap > total {
                 return Err(format!(
@@ -113,8 +114,8 @@
         }
         let sum: usize = limits.iter().map(|l| l.guarantee).sum();
         if sum > total {
-            let set = Purpose::ALL.iter().filter(|p| wishes[**p as usize].guarantee.is_some());
-            let keys: Vec<String> = set.map(|p| format!("'memory.{}.guarantee'", p.name())).collect();
+            let with_guarantee = Purpose::ALL.iter().filter(|p| overrides[**p as usize].guarantee.is_some());
+            let keys: Vec<String> = with_guarantee.map(|p| format!("'memory.{}.guarantee'", p.name())).collect();
             let keys = if keys.is_empty() { "'limits.memory_mb'".to_owned() } else { keys.join(", ") };
             return Err(format!(
                 "{keys}: all guarantees sum to {sum}, which is over the total of {total} bytes"
@@ -126,13 +127,13 @@
         Ok(Plan { total, limits, team_share })
     }
 
-    /// No limits.
+    /// A plan without limits.
     pub fn unlimited() -> Plan {
         let limit = Limit { guarantee: 0, cap: usize::MAX, reserve: 0 };
         Plan { total: usize::MAX, limits: [limit; PURPOSES], team_share: 1.0 }
     }
 
-    /// What one team may hold of an account (bytes).
+    /// Upper limit of one team in an account (bytes).
     pub fn team_cap(&self, purpose: Purpose) -> usize {
         (self.limits[purpose as usize].cap as f64 * self.team_share) as usize
     }
@@ -143,38 +144,38 @@
     use super::*;
 
     #[test]
-    fn what_is_wished_is_checked_as_a_whole() {
-        let none = [AccountLimits::default(); PURPOSES];
+    fn settings_are_checked_together() {
+        let unset = [LimitOverrides::default(); PURPOSES];
         for total in [16_000_000, 32_000_000, 192_000_000, 4_000_000_000] {
-            let plan = Plan::new(total, &none, 0.5).unwrap();
+            let plan = Plan::new(total, &unset, 0.5).unwrap();
             assert!(plan.limits.iter().all(|l| l.reserve <= l.guarantee && l.guarantee <= l.cap));
         }
-        let wish = |purpose: Purpose, wish: AccountLimits| {
-            let mut all = none;
-            all[purpose as usize] = wish;
+        let plan_with = |purpose: Purpose, limits: LimitOverrides| {
+            let mut all = unset;
+            all[purpose as usize] = limits;
             Plan::new(32_000_000, &all, 0.5)
         };
-        let guarantee = AccountLimits { guarantee: Some(20_000_000), ..AccountLimits::default() };
-        let error = wish(Purpose::Unread, guarantee).unwrap_err();
+        let guarantee = LimitOverrides { guarantee: Some(20_000_000), ..LimitOverrides::default() };
+        let error = plan_with(Purpose::Unread, guarantee).unwrap_err();
         assert!(error.contains("'memory.unread.guarantee'") && error.contains("sum to"), "{error}");
         let error =
-            wish(Purpose::Bodies, AccountLimits { cap: Some(33_000_000), ..AccountLimits::default() })
+            plan_with(Purpose::Bodies, LimitOverrides { cap: Some(33_000_000), ..LimitOverrides::default() })
                 .unwrap_err();
         assert!(error.contains("'memory.bodies.cap' (33000000)"), "{error}");
-        let crossed = AccountLimits { guarantee: Some(3_000_000), cap: Some(2_000_000), reserve: None };
-        assert!(wish(Purpose::Bodies, crossed).unwrap_err().contains("'memory.bodies.guarantee'"));
-        let lavish = AccountLimits { guarantee: Some(1_000_000), cap: None, reserve: Some(2_000_000) };
-        assert!(wish(Purpose::Bodies, lavish).unwrap_err().contains("'memory.bodies.reserve'"));
-        // A cap alone draws the guarantee and the reserve along.
-        let usual = Plan::new(32_000_000, &none, 0.5).unwrap().limits[Purpose::Bodies as usize];
+        let crossed = LimitOverrides { guarantee: Some(3_000_000), cap: Some(2_000_000), reserve: None };
+        assert!(plan_with(Purpose::Bodies, crossed).unwrap_err().contains("'memory.bodies.guarantee'"));
+        let lavish = LimitOverrides { guarantee: Some(1_000_000), cap: None, reserve: Some(2_000_000) };
+        assert!(plan_with(Purpose::Bodies, lavish).unwrap_err().contains("'memory.bodies.reserve'"));
+        // A cap alone lowers the guarantee and the reserve in proportion.
+        let default = Plan::new(32_000_000, &unset, 0.5).unwrap().limits[Purpose::Bodies as usize];
         let plan =
-            wish(Purpose::Bodies, AccountLimits { cap: Some(usual.cap / 4), ..AccountLimits::default() })
+            plan_with(Purpose::Bodies, LimitOverrides { cap: Some(default.cap / 4), ..LimitOverrides::default() })
                 .unwrap();
         let limit = plan.limits[Purpose::Bodies as usize];
         assert!(
-            limit.guarantee.abs_diff(usual.guarantee / 4) < 2
-                && limit.reserve.abs_diff(usual.reserve / 4) < 2
+            limit.guarantee.abs_diff(default.guarantee / 4) < 2
+                && limit.reserve.abs_diff(default.reserve / 4) < 2
         );
-        assert!(Plan::new(32_000_000, &none, 0.0).is_err());
+        assert!(Plan::new(32_000_000, &unset, 0.0).is_err());
     }
 }
--- a/src/memory/pressure.rs
+++ b/src/memory/pressure.rs
@@ -1,24 +1,24 @@
-//! What is done as the shared remainder shrinks, step by step and with hysteresis: a level is entered where the
-//! remainder has fallen under its threshold, and left only well above it, so that a front on the edge does not
-//! flap between serving and refusing.
+//! Measures against scarce memory, in levels with hysteresis: a level is entered when the free part of the
+//! shared remainder falls below its threshold, and left only well above it, so that a front near a threshold
+//! does not flap between serving and refusing.
 
 use super::{Accounts, Purpose};
 
-/// What is done about scarce memory. Each level does what those before it do.
+/// Measures against scarce memory. Each level includes those before it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub enum Level {
-    /// Nothing.
+    /// No measures.
     #[default]
     Calm,
     /// Idle buffers are compacted and released.
     Compact,
     /// Idle connections are closed, the longest idle first.
     CloseIdle,
-    /// Clients that leave the most unread are not read from.
+    /// Clients with the most unread bytes are not read from.
     HoldSlow,
     /// The largest requests are refused.
     RefuseLarge,
-    /// All but what the reserve is for is refused.
+    /// All requests without access to the reserve are refused.
     ReserveOnly,
 }
 
@@ -26,7 +26,7 @@
     const ALL: [Level; 5] =
         [Level::Compact, Level::CloseIdle, Level::HoldSlow, Level::RefuseLarge, Level::ReserveOnly];
 
-    /// As it is shown.
+    /// The name in counters and log lines.
     pub fn name(self) -> &'static str {
         match self {
             Level::Calm => "calm",
@@ -39,12 +39,12 @@
     }
 }
 
-/// Where levels begin and end, as shares of the shared remainder that are free.
+/// Thresholds of the levels, as free shares of the shared remainder.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Thresholds {
-    /// Each level is entered under its share, from [`Level::Compact`] on.
+    /// A level is entered below its share, in order from [`Level::Compact`].
     pub enter: [f64; 5],
-    /// It is left over that share plus this.
+    /// A level is left above its share plus this margin.
     pub margin: f64,
 }
 
@@ -54,76 +54,81 @@
     }
 }
 
-/// A request over this share of the free remainder, or of the free part of its account, is a large one.
-const LARGE: f64 = 0.125;
-/// Where so much of what may be left unread is, those who left more than their part are held up though the remainder
-/// is not scarce: the rest is for clients that read. It ends well below (shares of the cap).
-const CROWDED: (f64, f64) = (0.7, 0.6);
+/// A request is large above this share of the free remainder.
+const LARGE_REQUEST_SHARE: f64 = 0.125;
+/// Fullness of the account of unread answers above which clients with more than their even share are not read
+/// from, though the remainder is not scarce: the free part is for clients that read.
+const UNREAD_CROWDED_ENTER: f64 = 0.7;
+/// Fullness of the account of unread answers down to which this continues.
+const UNREAD_CROWDED_LEAVE: f64 = 0.6;
 
-/// The policy: the level that holds, and what it says to each.
+/// The policy: the present level, and what it permits.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Pressure {
     thresholds: Thresholds,
     level: Level,
-    crowded: bool,
+    /// The account of unread answers is nearly full.
+    unread_crowded: bool,
 }
 
 impl Pressure {
-    /// A policy with these thresholds.
+    /// A policy at [`Level::Calm`] with these thresholds.
     pub fn new(thresholds: Thresholds) -> Self {
         Pressure { thresholds, ..Pressure::default() }
     }
 
-    /// The level that holds.
+    /// The level at the last update.
     pub fn level(&self) -> Level {
         self.level
     }
 
-    /// Forgets the level: other limits are in force. The thresholds are shares of another remainder now, and a level that
-    /// was entered under the former limits says nothing of it. To be followed by a look, which enters what is to be.
+    /// Returns to [`Level::Calm`] after a change of limits: the thresholds are shares of another remainder
+    /// now, of which a level entered under the former limits says nothing. An update must follow, which
+    /// enters the level that is due.
     pub fn reset(&mut self) {
-        (self.level, self.crowded) = (Level::Calm, false);
+        (self.level, self.unread_crowded) = (Level::Calm, false);
     }
 
-    /// Looks at the accounts; the level that holds from now on.
-    pub fn look(&mut self, accounts: &Accounts) -> Level {
+    /// Determines the level from the accounts and returns it.
+    pub fn update(&mut self, accounts: &Accounts) -> Level {
         let (free, all) = accounts.remainder();
         let free = free as f64 / all.max(1) as f64;
         let Thresholds { enter, margin } = self.thresholds;
-        let under = |extra: f64| enter.iter().take_while(|&&e| free < e + extra).count();
-        // Levels under whose threshold the remainder lies are entered, those under whose upper bound it
-        // still lies are kept.
-        let (entered, kept) = (under(0.0), under(margin));
+        let levels_below = |extra: f64| enter.iter().take_while(|&&e| free < e + extra).count();
+        // The remainder is below the thresholds of the entered levels, and not above the upper bounds of the
+        // kept ones.
+        let (entered, kept) = (levels_below(0.0), levels_below(margin));
         let now = self.level as usize;
         let mut next = now.clamp(entered, kept.max(entered));
         let unread = accounts.fullness(Purpose::Unread);
-        self.crowded = unread > if self.crowded { CROWDED.1 } else { CROWDED.0 };
-        if self.crowded {
+        self.unread_crowded = unread > if self.unread_crowded { UNREAD_CROWDED_LEAVE } else { UNREAD_CROWDED_ENTER };
+        if self.unread_crowded {
             next = next.max(Level::HoldSlow as usize);
         }
         self.level = if next == 0 { Level::Calm } else { Level::ALL[next - 1] };
         self.level
     }
 
-    /// May a request of so many bytes be taken now? One for which the reserve is there always may, as far as
-    /// the accounts have room.
-    pub fn admits(&self, accounts: &Accounts, bytes: usize, precious: bool) -> bool {
+    /// Returns whether a request of this size may be admitted at the present level. One with access to the
+    /// reserve always may, as far as its accounts have room.
+    pub fn admits(&self, accounts: &Accounts, bytes: usize, may_use_reserve: bool) -> bool {
         match self.level {
-            _ if precious => true,
+            _ if may_use_reserve => true,
             Level::ReserveOnly => false,
-            Level::RefuseLarge => (bytes as f64) < LARGE * accounts.remainder().0 as f64,
+            Level::RefuseLarge => (bytes as f64) < LARGE_REQUEST_SHARE * accounts.remainder().0 as f64,
             _ => true,
         }
     }
 
-    /// How many of so many idle connections are to be closed in a turn: a tenth, the longest idle first, so that
-    /// relief comes within a second and a passing burst costs few of them.
-    pub fn closes(&self, idle: usize) -> usize {
+    /// The number of `idle` connections to close in one pass, the longest idle first: a tenth, so that memory
+    /// is free within a second and a short burst costs few connections.
+    pub fn idle_connections_to_close(&self, idle: usize) -> usize {
         if self.level >= Level::CloseIdle { idle.div_ceil(10) } else { 0 }
     }
 
-    /// Is a client that has left so many bytes unread to be read from, and to be given more? Those with more than their even part of
-    /// what the account may hold are not, until they have read.
+    /// Returns whether a client with this many unread bytes may be read from and sent more. From
+    /// [`Level::HoldSlow`] on, one with more than its even share of the account's cap may not until it has
+    /// read.
     pub fn may_read(&self, accounts: &Accounts, unread: usize, clients: usize) -> bool {
         let cap = accounts.plan().limits[Purpose::Unread as usize].cap;
         self.level < Level::HoldSlow || unread <= cap / clients.max(1)
@@ -133,18 +138,18 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::memory::{AccountLimits, AccountOwner, Ledger, PURPOSES, Plan};
+    use crate::memory::{LimitOverrides, AccountOwner, Ledger, PURPOSES, Plan};
 
     #[test]
     fn levels_are_entered_in_order_and_left_with_hysteresis() {
-        let plan = Plan::new(100_000_000, &[AccountLimits::default(); PURPOSES], 1.0).unwrap();
+        let plan = Plan::new(100_000_000, &[LimitOverrides::default(); PURPOSES], 1.0).unwrap();
         let ledger = Ledger::new(plan, 0);
         let all = ledger.accounts().remainder().1;
         let guarantee = plan.limits[Purpose::Program as usize].guarantee;
         let mut pressure = Pressure::default();
         let mut at = |free: f64| {
             ledger.accounts_mut().observe(guarantee + ((1.0 - free) * all as f64) as usize);
-            (pressure.look(&ledger.accounts()), pressure.clone())
+            (pressure.update(&ledger.accounts()), pressure.clone())
         };
         let expected = [
             (0.6, Level::Calm),
@@ -169,22 +174,22 @@
         let free = ledger.accounts().remainder().0;
         assert!(large.admits(&ledger.accounts(), free / 10, false));
         assert!(!large.admits(&ledger.accounts(), free / 5, false));
-        assert_eq!((large.closes(25), Pressure::default().closes(25)), (3, 0));
+        assert_eq!((large.idle_connections_to_close(25), Pressure::default().idle_connections_to_close(25)), (3, 0));
     }
 
-    /// A full account of unread answers stops the reading of those who caused it, and of no others.
+    /// A full account of unread answers stops reading from the clients that fill it, and from no others.
     #[test]
-    fn the_slowest_are_held_up_where_their_account_is_full() {
-        let mut wishes = [AccountLimits::default(); PURPOSES];
-        wishes[Purpose::Unread as usize].cap = Some(10_000_000);
-        let plan = Plan::new(100_000_000, &wishes, 1.0).unwrap();
+    fn only_clients_that_fill_the_unread_account_are_not_read_from() {
+        let mut overrides = [LimitOverrides::default(); PURPOSES];
+        overrides[Purpose::Unread as usize].cap = Some(10_000_000);
+        let plan = Plan::new(100_000_000, &overrides, 1.0).unwrap();
         let ledger = Ledger::new(plan, 0);
         let limit = plan.limits[Purpose::Unread as usize];
-        let _full = ledger.ask(AccountOwner::of(Purpose::Unread), limit.cap - limit.reserve).unwrap();
-        let _precious =
-            ledger.ask(AccountOwner { precious: true, ..AccountOwner::of(Purpose::Unread) }, limit.reserve);
+        let _full = ledger.acquire(AccountOwner::of(Purpose::Unread), limit.cap - limit.reserve).unwrap();
+        let _priority =
+            ledger.acquire(AccountOwner { may_use_reserve: true, ..AccountOwner::of(Purpose::Unread) }, limit.reserve);
         let mut pressure = Pressure::default();
-        assert!(pressure.look(&ledger.accounts()) >= Level::HoldSlow);
+        assert!(pressure.update(&ledger.accounts()) >= Level::HoldSlow);
         assert!(!pressure.may_read(&ledger.accounts(), limit.cap / 10, 100));
         assert!(pressure.may_read(&ledger.accounts(), limit.cap / 200, 100));
     }
--- a/src/planted.rs
+++ b/src/planted.rs
@@ -1,42 +1,43 @@
-//! Faults that only tests have: a front built with the feature `planted` does wrong what the variable `ONYXYOKE_PLANTED`
-//! names, as words with blanks between. No release has the feature.
+//! Fault injection for tests: a front built with the feature `planted` shows the faults that the environment
+//! variable `ONYXYOKE_PLANTED` names, as words separated by blanks. No release has the feature.
 
 use std::cell::RefCell;
 use std::sync::OnceLock;
 use std::time::{Duration, Instant};
 
-/// What is planted, and when the process began.
-struct Planted {
+/// The faults of the process.
+struct Faults {
     words: Vec<String>,
-    began: Instant,
+    started_at: Instant,
 }
 
-fn planted() -> &'static Planted {
-    static PLANTED: OnceLock<Planted> = OnceLock::new();
-    PLANTED.get_or_init(|| {
+fn faults() -> &'static Faults {
+    static FAULTS: OnceLock<Faults> = OnceLock::new();
+    FAULTS.get_or_init(|| {
         let text = std::env::var("ONYXYOKE_PLANTED").unwrap_or_default();
-        Planted { words: text.split_whitespace().map(str::to_owned).collect(), began: Instant::now() }
+        Faults { words: text.split_whitespace().map(str::to_owned).collect(), started_at: Instant::now() }
     })
 }
 
-/// Is this word planted?
-pub fn has(word: &str) -> bool {
-    planted().words.iter().any(|w| w == word)
+/// Returns whether this fault is set.
+pub fn is_set(word: &str) -> bool {
+    faults().words.iter().any(|w| w == word)
 }
 
 /// The number after `word=`.
 fn number(word: &str) -> Option<f64> {
-    planted().words.iter().find_map(|w| w.strip_prefix(word)?.strip_prefix('=')?.parse().ok())
+    faults().words.iter().find_map(|w| w.strip_prefix(word)?.strip_prefix('=')?.parse().ok())
 }
 
-/// Seconds since the process began, beyond `word=`; below 0 before, none where the word is not planted.
+/// Seconds since `word=S` after the start of the process, negative before; `None` if the word is not set.
 fn since(word: &str) -> Option<f64> {
-    number(word).map(|after| planted().began.elapsed().as_secs_f64() - after)
+    number(word).map(|after| faults().started_at.elapsed().as_secs_f64() - after)
 }
 
-/// `no-start`: it ends at once. `exit=S`: it ends by itself after so long. `leak=KB`: memory that grows a second.
+/// Applies the faults of the process: `no-start` exits at once, `exit=S` exits after S seconds, and `leak=KB`
+/// leaks that much memory per second.
 pub fn start() {
-    if has("no-start") {
+    if is_set("no-start") {
         std::process::exit(1);
     }
     let (exit, leak) = (number("exit"), number("leak"));
@@ -52,8 +53,9 @@
     }
 }
 
-/// `refuse=SHARE`, of `class=N` alone, from `after=S` on: is this request refused?
-pub fn refuses(class: u16) -> bool {
+/// Returns whether to refuse a request: `refuse=SHARE` refuses this share, with `class=N` only of that class,
+/// and with `after=S` only from then on.
+pub fn should_refuse(class: u16) -> bool {
     thread_local!(static RANDOM: RefCell<fastrand::Rng> = const { RefCell::new(fastrand::Rng::with_seed(1)) });
     let Some(share) = number("refuse") else { return false };
     if number("class").is_some_and(|c| c as u16 != class) || since("after").is_some_and(|s| s < 0.0) {
@@ -62,30 +64,30 @@
     RANDOM.with_borrow_mut(|random| random.f64()) < share
 }
 
-/// `delay=S`: whatever goes to a cache node goes so much later.
-pub fn delay() -> Option<Duration> {
+/// The delay of everything that is sent to a cache node, by `delay=S`.
+pub fn attempt_delay() -> Option<Duration> {
     number("delay").map(Duration::from_secs_f64)
 }
 
-/// What the operators' socket does wrong: `mute=S` says nothing from then on, `never` is never ready, `other` says that
-/// it runs something else.
-pub enum Socket {
-    /// Nothing.
-    Well,
+/// A fault of the operators' socket: `mute=S` gives no answer from then on, `never` reports that the front is
+/// not ready, and `other` reports another build.
+pub enum OperatorFault {
+    /// No fault.
+    None,
     /// No answer.
     Mute,
-    /// Not ready.
-    Never,
-    /// Another version.
-    Other,
+    /// The front is never ready.
+    NeverReady,
+    /// The version call reports another build.
+    OtherBuild,
 }
 
-/// What it does wrong now.
-pub fn socket() -> Socket {
+/// The present fault of the operators' socket.
+pub fn operator_fault() -> OperatorFault {
     match () {
-        () if since("mute").is_some_and(|s| s > 0.0) => Socket::Mute,
-        () if has("never") => Socket::Never,
-        () if has("other") => Socket::Other,
-        () => Socket::Well,
+        () if since("mute").is_some_and(|s| s > 0.0) => OperatorFault::Mute,
+        () if is_set("never") => OperatorFault::NeverReady,
+        () if is_set("other") => OperatorFault::OtherBuild,
+        () => OperatorFault::None,
     }
 }
--- a/src/spread/mod.rs
+++ b/src/spread/mod.rs
@@ -1,22 +1,22 @@
-//! How the load of many fronts comes out even though each sees little of it and none can ask another: where
-//! objects are at home, by the size of links and by heat; how a front keeps its own load even; what a cold
-//! cache may get; how a cache that was left gets back. No I/O, no clock, no randomness of its own: what
-//! differs between fronts is drawn by hash.
+//! Load distribution over the caches by fronts that each see little of the load and exchange nothing:
+//! placement of objects by link size and popularity, even use of the caches by each front, slow start of cold
+//! caches, and the return of a cache that was avoided. There is no I/O, no clock and no random generator
+//! here: what differs between fronts is drawn by hash.
 
-mod cold;
-mod heat;
-mod homes;
+mod parent_ring;
+mod popularity;
 mod reasons;
-mod ring;
-mod share;
+mod recent_work;
+mod rendezvous;
+mod slow_start;
 
-/// The number of the rule by which objects have homes: fronts of one location that follow different ones would halve
-/// the hits, so that a build with another one is rolled out by whole locations.
-pub const HOMES: u32 = 2;
+/// Version of the rule that places objects on caches. Fronts of one location that follow different versions
+/// would halve the hits, so a build with another version is rolled out by whole locations.
+pub const HOME_RULE_VERSION: u32 = 2;
 
-pub use cold::{Cold, SlowStartRequest};
-pub use heat::Heat;
-pub use homes::{Home, Homes, unit};
+pub use parent_ring::ParentRing;
+pub use popularity::PopularitySketch;
 pub use reasons::{ReasonCounts, RoutingReason};
-pub use ring::Ring;
-pub use share::Share;
+pub use recent_work::RecentWork;
+pub use rendezvous::{RendezvousOrder, WeightedCache, unit_hash};
+pub use slow_start::{SlowStart, SlowStartRequest};
--- a/src/spread/reasons.rs
+++ b/src/spread/reasons.rs
@@ -1,30 +1,31 @@
-//! Why caches were chosen, in counts: what an operator reads in one front's log to tell how its load spreads.
+//! Counts of why each cache was chosen: the log of a front shows an operator how its load is distributed.
 
 use std::fmt;
 
-/// Why an attempt went to the cache that it went to.
+/// Why an attempt was sent to the cache that it was sent to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum RoutingReason {
-    /// It is the object's home by hash.
+    /// The cache is the object's home by hash.
     #[default]
     Hash,
-    /// It was seen to hold the object.
+    /// The cache was observed to hold the object.
     Belief,
-    /// It is one of several homes of a hot object, the one that this front used least.
+    /// The cache is one of several homes of a hot object, the one that this front used least.
     Heat,
-    /// Nothing is kept of what was asked, so that any cache would do: the one that this front used least.
+    /// The object is never kept, so any cache serves equally well: the one that this front used least.
     Free,
-    /// All that came first looked full.
+    /// The caches that come first for the object all looked full.
     Spread,
-    /// It had been blamed, and this is its trial.
+    /// The cache had been excluded for failures, and this attempt is its trial.
     Trial,
-    /// It is cold, and this front had the turn.
+    /// The cache is in slow start, and its budget had room for this front.
     Cold,
 }
 
 impl RoutingReason {
-    /// The first sign that holds, of a trial, a cold cache, spreading, nothing kept, heat and belief; else the hash.
-    pub fn first(signs: [bool; 6]) -> RoutingReason {
+    /// The first flag that is set, in the order trial, cold cache, spreading, never kept, hot object, belief;
+    /// the hash if none is.
+    pub fn from_flags(flags: [bool; 6]) -> RoutingReason {
         let order = [
             RoutingReason::Trial,
             RoutingReason::Cold,
@@ -33,10 +34,10 @@
             RoutingReason::Heat,
             RoutingReason::Belief,
         ];
-        signs.iter().zip(order).find(|(sign, _)| **sign).map_or(RoutingReason::Hash, |(_, why)| why)
+        flags.iter().zip(order).find(|(flag, _)| **flag).map_or(RoutingReason::Hash, |(_, reason)| reason)
     }
 
-    /// All, with their names in the log.
+    /// All reasons with their names in the log.
     pub const ALL: [(RoutingReason, &'static str); 7] = [
         (RoutingReason::Hash, "hash"),
         (RoutingReason::Belief, "belief"),
@@ -48,25 +49,25 @@
     ];
 }
 
-/// Attempts by why their cache was chosen, since the start.
+/// Attempts since the start, by the reason for the choice of their cache.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ReasonCounts([u64; RoutingReason::ALL.len()]);
 
 impl ReasonCounts {
-    /// One more.
-    pub fn count(&mut self, why: RoutingReason) {
-        self.0[why as usize] += 1;
+    /// Counts one attempt.
+    pub fn count(&mut self, reason: RoutingReason) {
+        self.0[reason as usize] += 1;
     }
 
-    /// How many.
-    pub fn of(&self, why: RoutingReason) -> u64 {
-        self.0[why as usize]
+    /// The number of attempts with this reason.
+    pub fn of(&self, reason: RoutingReason) -> u64 {
+        self.0[reason as usize]
     }
 }
 
 impl fmt::Display for ReasonCounts {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "choices")?;
-        RoutingReason::ALL.iter().try_for_each(|(why, name)| write!(f, " {name}={}", self.of(*why)))
+        RoutingReason::ALL.iter().try_for_each(|(reason, name)| write!(f, " {name}={}", self.of(*reason)))
     }
 }
--- a/src/turns.rs
+++ b/src/turns.rs
@@ -1,8 +1,9 @@
-//! How long the front's one thread runs between two waits, and in which tasks.
+//! Detection of long turns of the front's single thread: how long it runs between two waits, and in which
+//! tasks.
 //!
-//! A turn begins when the thread wakes and ends when it next waits. One that is long delays every timer and every answer;
-//! this tells which tasks it was spent in, also while it still lasts, so that a thread that no longer waits at all has left
-//! a line in the log.
+//! A turn begins when the thread wakes and ends when it next waits. A long turn delays every timer and every
+//! answer. It is logged with the tasks that were polled in it, also before it ends, so that the log has a
+//! line even of a thread that never waits again.
 
 use crate::log;
 use nix::time::{ClockId, clock_gettime};
@@ -14,39 +15,39 @@
 use std::time::{Duration, Instant};
 use tokio::runtime::{Builder, Runtime};
 
-/// A turn that has lasted so long is told of, and again each time that it has lasted twice as long.
-pub const LONG_TURN: Duration = Duration::from_millis(500);
-/// The thread's processor time is read this often at most, and what is told of a turn may be too much by what was used in
-/// so long.
-const PROCESSOR_SAMPLE: Duration = Duration::from_millis(20);
-/// Kinds of tasks.
-const KINDS: usize = 9;
+/// A turn of this length is logged, and again each time that its length has doubled.
+pub const LONG_TURN_THRESHOLD: Duration = Duration::from_millis(500);
+/// Minimum interval of the readings of the thread's processor time. The processor time of a turn may be
+/// reported too high by what was used in such an interval.
+const PROCESSOR_SAMPLE_INTERVAL: Duration = Duration::from_millis(20);
+/// Number of task kinds.
+const TASK_KINDS: usize = 9;
 
-/// What a task does.
+/// The kind of a task, by which its polls are counted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TaskKind {
     /// Accepts clients.
     Listener,
     /// Serves a client's connection.
     Client,
-    /// Holds a connection to a cache node.
+    /// Serves a connection to a cache node.
     Cache,
-    /// Picks and opens connections to cache nodes.
+    /// Selects and opens connections to cache nodes.
     Pool,
-    /// Owns the requests and the decisions.
+    /// Runs the broker: requests and routing decisions.
     Broker,
     /// Follows the coordinator or a discovery server.
     Discovery,
     /// Answers operators.
     Operators,
-    /// Looks at the process's memory.
+    /// Samples the process's memory.
     Memory,
-    /// Reads the signers' keys again.
+    /// Reloads the signers' keys.
     Keys,
 }
 
 impl TaskKind {
-    const NAMES: [&'static str; KINDS] =
+    const NAMES: [&'static str; TASK_KINDS] =
         ["listener", "client", "cache", "pool", "broker", "discovery", "operators", "memory", "keys"];
 
     fn name(self) -> &'static str {
@@ -54,16 +55,15 @@
     }
 }
 
-/// A turn that lasts long.
+/// A long turn, as it is logged.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LongTurn {
-    /// How long it has lasted, and whether it has ended.
     lasted: Duration,
     ended: bool,
-    /// At most so much of that was the thread's processor time; the rest it was kept from the processor.
+    /// Upper bound of the thread's processor time in the turn; for the rest the thread did not run.
     processor: Duration,
-    /// How often tasks were polled in it, by kind.
-    polls: [u32; KINDS],
+    /// Polls in the turn, by the kind of the task.
+    polls: [u32; TASK_KINDS],
     longest_poll: Option<(TaskKind, Duration)>,
 }
 
@@ -82,14 +82,14 @@
     }
 }
 
-/// The longest turns since the start.
+/// The longest turns since the start, and the number of long ones.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct LongestTurns {
-    /// By the clock.
+    /// Length of the longest turn by the clock.
     pub lasted: Duration,
-    /// By the thread's processor time.
+    /// The most processor time of the thread in one turn.
     pub processor: Duration,
-    /// How many lasted [`LONG_TURN`] and longer.
+    /// Number of turns of at least [`LONG_TURN_THRESHOLD`].
     pub long: u64,
 }
 
@@ -100,76 +100,79 @@
     }
 }
 
-/// What is known of the turn that lasts, and the longest so far. It reads no clock.
+/// Measures the present turn and keeps the longest. It reads no clock.
 #[derive(Debug)]
 struct TurnMeter {
-    began: Instant,
+    started_at: Instant,
     /// When the last poll ended.
-    last_poll: Instant,
-    polls: [u32; KINDS],
+    last_poll_end: Instant,
+    polls: [u32; TASK_KINDS],
     longest_poll: Option<(TaskKind, Duration)>,
-    /// The turn is told of once it has lasted so long.
-    told_at: Duration,
-    /// The thread's processor time as it was last read, and when.
-    processor: (Duration, Instant),
+    /// The turn is logged when it has lasted this long.
+    next_report: Duration,
+    /// The thread's processor time at the last reading.
+    processor: Duration,
+    processor_read_at: Instant,
     longest: LongestTurns,
 }
 
 impl TurnMeter {
     fn new(now: Instant, processor: Duration) -> Self {
         TurnMeter {
-            began: now,
-            last_poll: now,
-            polls: [0; KINDS],
+            started_at: now,
+            last_poll_end: now,
+            polls: [0; TASK_KINDS],
             longest_poll: None,
-            told_at: LONG_TURN,
-            processor: (processor, now),
+            next_report: LONG_TURN_THRESHOLD,
+            processor,
+            processor_read_at: now,
             longest: LongestTurns::default(),
         }
     }
 
-    /// The thread has woken: a turn begins.
-    fn wake(&mut self, now: Instant) {
-        (self.began, self.last_poll) = (now, now);
-        (self.polls, self.longest_poll) = ([0; KINDS], None);
-        self.told_at = LONG_TURN;
+    /// Begins a turn when the thread has woken.
+    fn begin_turn(&mut self, now: Instant) {
+        (self.started_at, self.last_poll_end) = (now, now);
+        (self.polls, self.longest_poll) = ([0; TASK_KINDS], None);
+        self.next_report = LONG_TURN_THRESHOLD;
     }
 
-    /// A task was polled; is its turn to be told of? `processor` reads the thread's processor time.
-    fn polled(
+    /// Records the poll of a task and returns the turn if it is due to be logged. `processor` reads the
+    /// thread's processor time.
+    fn record_poll(
         &mut self,
         kind: TaskKind,
         now: Instant,
         processor: impl FnOnce() -> Duration,
     ) -> Option<LongTurn> {
         self.polls[kind as usize] += 1;
-        let took = now - self.last_poll;
-        self.last_poll = now;
+        let took = now - self.last_poll_end;
+        self.last_poll_end = now;
         if self.longest_poll.is_none_or(|(_, longest)| took > longest) {
             self.longest_poll = Some((kind, took));
         }
-        let lasted = now - self.began;
-        if lasted < self.told_at {
+        let lasted = now - self.started_at;
+        if lasted < self.next_report {
             return None;
         }
-        while self.told_at <= lasted {
-            self.told_at *= 2;
+        while self.next_report <= lasted {
+            self.next_report *= 2;
         }
-        Some(self.long_turn(lasted, false, processor() - self.processor.0))
+        Some(self.long_turn(lasted, false, processor() - self.processor))
     }
 
-    /// The thread is about to wait: the turn has ended; is it to be told of?
-    fn wait(&mut self, now: Instant, processor: impl FnOnce() -> Duration) -> Option<LongTurn> {
-        let lasted = now - self.began;
+    /// Ends the turn when the thread is about to wait, and returns it if it was long.
+    fn end_turn(&mut self, now: Instant, processor: impl FnOnce() -> Duration) -> Option<LongTurn> {
+        let lasted = now - self.started_at;
         self.longest.lasted = self.longest.lasted.max(lasted);
-        if now - self.processor.1 < PROCESSOR_SAMPLE {
+        if now - self.processor_read_at < PROCESSOR_SAMPLE_INTERVAL {
             return None;
         }
         let read = processor();
-        let used = read - self.processor.0;
-        self.processor = (read, now);
+        let used = read - self.processor;
+        (self.processor, self.processor_read_at) = (read, now);
         self.longest.processor = self.longest.processor.max(used.min(lasted));
-        let long = lasted >= LONG_TURN;
+        let long = lasted >= LONG_TURN_THRESHOLD;
         self.longest.long += u64::from(long);
         long.then(|| self.long_turn(lasted, true, used))
     }
@@ -184,24 +187,24 @@
     static METER: RefCell<TurnMeter> = RefCell::new(TurnMeter::new(Instant::now(), processor_time()));
 }
 
-/// The processor time of this thread; none where the system does not tell.
+/// The processor time of this thread; zero if the system does not report it.
 fn processor_time() -> Duration {
     clock_gettime(ClockId::CLOCK_THREAD_CPUTIME_ID).map_or(Duration::ZERO, Duration::from)
 }
 
-fn tell(long: Option<LongTurn>) {
+fn log_long_turn(long: Option<LongTurn>) {
     if let Some(long) = long {
         log!("{long}");
     }
 }
 
-/// A runtime of one thread whose turns are measured.
+/// Builds a runtime of one thread whose turns are measured.
 pub fn runtime() -> io::Result<Runtime> {
     METER.set(TurnMeter::new(Instant::now(), processor_time()));
     Builder::new_current_thread()
         .enable_all()
-        .on_thread_park(|| tell(METER.with_borrow_mut(|meter| meter.wait(Instant::now(), processor_time))))
-        .on_thread_unpark(|| METER.with_borrow_mut(|meter| meter.wake(Instant::now())))
+        .on_thread_park(|| log_long_turn(METER.with_borrow_mut(|meter| meter.end_turn(Instant::now(), processor_time))))
+        .on_thread_unpark(|| METER.with_borrow_mut(|meter| meter.begin_turn(Instant::now())))
         .build()
 }
 
@@ -210,12 +213,12 @@
     METER.with_borrow(|meter| meter.longest)
 }
 
-/// Runs a task whose polls are counted for its kind.
-pub async fn measured<F: Future>(kind: TaskKind, future: F) -> F::Output {
+/// Runs a task and counts its polls for its kind.
+pub async fn track_polls<F: Future>(kind: TaskKind, future: F) -> F::Output {
     let mut future = pin!(future);
     poll_fn(|context| {
         let polled = future.as_mut().poll(context);
-        tell(METER.with_borrow_mut(|meter| meter.polled(kind, Instant::now(), processor_time)));
+        log_long_turn(METER.with_borrow_mut(|meter| meter.record_poll(kind, Instant::now(), processor_time)));
         polled
     })
     .await
--- a/src/watch.rs
+++ b/src/watch.rs
@@ -1,21 +1,23 @@
-//! Looks at the process's memory, ten times a second while it is scarce and else twice, and hands what it sees to the accounts; what they find is
-//! logged. The only place that asks the system.
+//! Samples the process's memory, ten times a second while memory is scarce and otherwise twice, updates the
+//! accounts, and logs what they find. Nothing else queries the system for it.
 
-use crate::memory::{Finding, Ledger, Level, Notice, Seen};
+use crate::memory::{AuditFinding, Ledger, Level, Notice, ProcessMemory};
 use crate::{clock, log};
 use tokio::time::sleep_until;
 
-/// Between two looks while memory is scarce, and while it is not: a look costs some hundred microseconds (seconds).
-const EVERY: (f64, f64) = (0.1, 0.5);
+/// Interval of the samples while memory is scarce (seconds).
+const SCARCE_INTERVAL_S: f64 = 0.1;
+/// Interval of the samples while memory is not scarce (seconds): a sample costs some hundred microseconds.
+const CALM_INTERVAL_S: f64 = 0.5;
 
-/// Pages that the allocator has: those with something live in them, and all that are in memory (bytes).
+/// Pages of the allocator: those with live allocations, and all resident ones (bytes).
 #[derive(Debug, Clone, Copy, Default)]
 struct HeapPages {
     active: usize,
     resident: usize,
 }
 
-/// Reads the allocator's pages. Where it does not tell, they count as none, and the accounts alone hold.
+/// Reads the allocator's pages. If it reports nothing they count as none, and only the accounts apply.
 fn heap_pages() -> HeapPages {
     use tikv_jemalloc_ctl::{epoch, stats};
     let read = || {
@@ -28,50 +30,55 @@
     read().unwrap_or_default()
 }
 
-/// Reads the process's resident memory (bytes); 0 where the system does not tell.
+/// Reads the process's resident memory (bytes); 0 if the system does not report it.
 fn resident_memory() -> usize {
     memory_stats::memory_stats().map_or(0, |stats| stats.physical_mem)
 }
 
-/// Reads both, the allocator first. Reading the process's size allocates, upon which the allocator may return freed
-/// pages: an allocator that is asked later no longer counts them, and they would be taken for the program's own.
-fn sample(heap: impl FnOnce() -> HeapPages, resident: impl FnOnce() -> usize) -> Seen {
+/// Samples the allocator's pages first and then the resident memory. Reading the resident memory allocates,
+/// upon which the allocator may return freed pages: read in the other order, these would be taken for the
+/// program's own memory.
+fn sample(heap: impl FnOnce() -> HeapPages, resident: impl FnOnce() -> usize) -> ProcessMemory {
     let heap = heap();
-    Seen { resident: resident(), active: heap.active, heap: heap.resident }
+    ProcessMemory { resident: resident(), active: heap.active, heap: heap.resident }
 }
 
-/// Looks for ever.
-pub async fn memory(ledger: Ledger) {
+/// Updates the accounts at intervals, without end.
+pub async fn watch_memory(ledger: Ledger) {
     loop {
-        let seen = sample(heap_pages, resident_memory);
-        let (finding, notices) = ledger.turn(seen);
+        let process = sample(heap_pages, resident_memory);
+        let (finding, notices) = ledger.update(process);
         match finding {
-            Finding::Usual => {}
-            Finding::Grew(rest) => log!("memory: {rest} bytes are in no account, more than when last told"),
-            Finding::Over(rest, cap) => {
+            AuditFinding::Normal => {}
+            AuditFinding::Grew(unaccounted) => {
+                log!("memory: {unaccounted} bytes are in no account, more than when last logged");
+            }
+            AuditFinding::OverCap { unaccounted, cap } => {
                 log!(
-                    "memory: {rest} bytes are in no account, over 'memory.program.cap' ({cap}); others are refused sooner"
+                    "memory: {unaccounted} bytes are in no account, over 'memory.program.cap' ({cap}); other \
+                     accounts are refused sooner"
                 );
             }
         }
         for notice in notices {
             match notice {
-                Notice::Refuses(s) => {
+                Notice::RefusalsBegan(s) => {
                     log!(
-                        "memory: '{}' refuses: {} bytes held, cap {}, {} shared left; level {}, of the process {} are in memory, {} of it the allocator's, {} live",
+                        "memory: '{}' refuses: {} bytes held, cap {}, {} shared bytes free; level {}; resident \
+                         {}, of these {} in the allocator, {} in its active pages",
                         s.purpose.name(),
                         s.now,
                         s.cap,
                         ledger.accounts().remainder().0,
-                        ledger.level().name(),
-                        seen.resident,
-                        seen.heap,
-                        seen.active
+                        ledger.update_level().name(),
+                        process.resident,
+                        process.heap,
+                        process.active
                     );
                 }
                 Notice::Recovered(s) => {
                     log!(
-                        "memory: '{}' has recovered: {} bytes held, {} refused so far",
+                        "memory: '{}' has recovered: {} bytes held, {} requests refused since the start",
                         s.purpose.name(),
                         s.now,
                         s.refused
@@ -79,7 +86,7 @@
                 }
             }
         }
-        let pause = if ledger.level() == Level::Calm { EVERY.1 } else { EVERY.0 };
+        let pause = if ledger.update_level() == Level::Calm { CALM_INTERVAL_S } else { SCARCE_INTERVAL_S };
         sleep_until(clock::instant(clock::now() + pause)).await;
     }
 }
