--- a/src/main.rs
+++ b/src/main.rs
@@ -2,11 +2,11 @@
 //! SIGTERM.
 #![forbid(unsafe_code)]
 
-use onyxyoke::broker::{self, Broker, Close, Contracts, Figures, Input, Inputs, News, Setup};
+use onyxyoke::broker::{self, Broker, Contracts, DiscoveryUpdate, Input, Inputs, Metrics, Setup, Shutdown};
 use onyxyoke::config::{self, Classes, Config, LoadedSettings};
 use onyxyoke::interface::Class;
 use onyxyoke::memory::{AccountOwner, Ledger, Purpose};
-use onyxyoke::net::{ListenerState, Live, admin, clients, coordinator, pool};
+use onyxyoke::net::{ListenerState, Reloadable, admin, clients, coordinator, pool};
 use onyxyoke::signed::keys::{KeyFile, Keys};
 use onyxyoke::state::{StateStore, StateWorker, Succession};
 use onyxyoke::turns::{self, TaskKind, track_polls};
@@ -105,14 +105,14 @@
     let platform = platform.as_ref().map(|(path, bytes)| (path.as_str(), bytes.as_slice()));
     let operator = operator.as_ref().map(|(path, text)| (path.as_str(), text.as_str()));
     let mut config = config::read(platform, operator)?;
-    config::admin(std::env::var("NODE_ADMIN_ADDR").ok().as_deref(), &mut config)?;
+    config::override_admin_address(std::env::var("NODE_ADMIN_ADDR").ok().as_deref(), &mut config)?;
     Ok(config)
 }
 
 /// The parts of the front that a reload may change.
 struct Reload {
-    discovery: Option<Rc<Live<(SocketAddr, f64)>>>,
-    coordinator: Option<Rc<Live<SocketAddr>>>,
+    discovery: Option<Rc<Reloadable<(SocketAddr, f64)>>>,
+    coordinator: Option<Rc<Reloadable<SocketAddr>>>,
     memory: Ledger,
     /// The digest of the settings in force.
     settings: Rc<Cell<u64>>,
@@ -135,7 +135,7 @@
         if *self.memory.accounts().plan() != reloaded.memory {
             self.memory.replan(reloaded.memory);
         }
-        let need_restart = loaded.fixed(&reloaded.loaded);
+        let need_restart = loaded.restart_required(&reloaded.loaded);
         match need_restart.is_empty() {
             true => {
                 self.settings.set(reloaded.loaded.digest());
@@ -152,7 +152,7 @@
     classes: Rc<Classes>,
     contracts: Rc<Contracts>,
     ready: Rc<Cell<bool>>,
-    figures: Rc<Figures>,
+    metrics: Rc<Metrics>,
     memory: Ledger,
     numbers: Rc<Cell<u64>>,
     /// Upper limit of the connections of one listener.
@@ -166,16 +166,16 @@
 impl ListenerContext {
     /// Starts to serve RESP clients.
     fn serve_clients(&mut self, name: &str, listener: TcpListener) -> std::io::Result<()> {
-        let front = clients::Front {
-            asks: self.asks.clone(),
+        let front = clients::ClientContext {
+            broker_inputs: self.asks.clone(),
             classes: self.classes.clone(),
             contracts: self.contracts.clone(),
             ready: self.ready.clone(),
-            connections: self.connections,
+            max_connections: self.connections,
             numbers: self.numbers.clone(),
             memory: self.memory.clone(),
-            wait: self.wait,
-            figures: self.figures.clone(),
+            pushback: self.wait,
+            metrics: self.metrics.clone(),
         };
         log!("{name} serves on {}", listener.local_addr()?);
         let accepting = clients::accept(listener, Rc::new(front), self.listening.clone());
@@ -198,7 +198,7 @@
         let grant = self.memory.acquire(AccountOwner::of(Purpose::Signed), keys.footprint());
         let grant = grant.map_err(|_| keys_error("they are larger than 'memory.signed' allows".into()))?;
         let keys = Rc::new(RefCell::new(keys));
-        let times = (signed.reread, signed.overlap);
+        let times = (signed.keys_refresh, signed.key_overlap);
         let key_reloads = signed::watch_keys(signed.keys, text, keys.clone(), times, grant);
         spawn_local(track_polls(TaskKind::Keys, key_reloads));
         let front = signed::Front {
@@ -247,7 +247,7 @@
 struct SharedState {
     store: StateStore,
     /// Cordons from before the start.
-    cordons: Option<onyxyoke::membership::Kept>,
+    cordons: Option<onyxyoke::membership::SavedOverrides>,
     succession: Succession,
 }
 
@@ -257,7 +257,7 @@
     fn open(name: &str, listeners: &Listeners) -> std::io::Result<Self> {
         let (store, cordons) = StateStore::open(std::env::temp_dir(), name, &listeners.addresses()?);
         let succession = store.succession();
-        if !succession.another_serves() {
+        if !succession.has_successor() {
             listeners.all().for_each(onyxyoke::net::prefer_youngest);
         }
         Ok(SharedState { store, cordons, succession })
@@ -271,7 +271,7 @@
     let (reports_in, reports) = unbounded_channel();
     let (commands_in, commands) = unbounded_channel();
     let waiting = config.memory.limits[Purpose::Waiting as usize].cap;
-    let (asks_in, asks) = channel((waiting / broker::REQUEST).clamp(1, REQUEST_QUEUE_MAX));
+    let (asks_in, asks) = channel((waiting / broker::REQUEST_OVERHEAD_BYTES).clamp(1, REQUEST_QUEUE_MAX));
     let (close, closes) = unbounded_channel();
     let print = Rc::new(Notify::new());
     let ready = Rc::new(Cell::new(false));
@@ -288,7 +288,7 @@
     let classes = Rc::new(config.classes);
     let mut listener_context = ListenerContext {
         asks: asks_in,
-        figures: Figures::new(classes.names.clone()),
+        metrics: Metrics::new(classes.names.clone()),
         classes,
         contracts: Rc::new(config.contracts),
         ready: ready.clone(),
@@ -296,8 +296,8 @@
         numbers: Rc::default(),
         // Clients hold at most a third; the rest is for connections that they have closed and this process
         // has not yet.
-        connections: config.sockets * 2 / 5 / listeners.all().count().max(1),
-        wait: config.settings.max_wait,
+        connections: config.max_descriptors * 2 / 5 / listeners.all().count().max(1),
+        wait: config.settings.max_retry_after,
         listening: ListenerState::new(),
         served: JoinSet::new(),
     };
@@ -311,10 +311,10 @@
     if let (Some(address), Some(mut shared_state)) = (config.admin, shared_state) {
         let listener = TcpListener::bind(address).await?;
         log!("{} answers operators on {}", config.name, listener.local_addr()?);
-        shared_state.succession.note();
+        shared_state.succession.register();
         let context = admin::AdminContext {
             ready: ready.clone(),
-            figures: listener_context.figures.clone(),
+            metrics: listener_context.metrics.clone(),
             operators: operators_in.clone(),
             store: StateWorker::start(shared_state.store),
             settings: settings.clone(),
@@ -324,12 +324,12 @@
         (cordons, succession) = (shared_state.cordons, Some(shared_state.succession));
     }
     drop(operators_in);
-    let limits = pool::Limits {
-        connect_within: config.connect_within,
-        idle: config.keepalive / 2.0,
-        streams: config.streams,
-        connections: (config.sockets / DESCRIPTORS_PER_CACHE_CONNECTION).max(1),
-        handshake: config.handshake,
+    let limits = pool::PoolLimits {
+        connect_timeout: config.connect_timeout,
+        idle_timeout: config.node_idle_timeout / 2.0,
+        max_requests_per_connection: config.max_requests_per_connection,
+        max_connections: (config.max_descriptors / DESCRIPTORS_PER_CACHE_CONNECTION).max(1),
+        handshake_cost: config.handshake_cost,
     };
     spawn_local(track_polls(TaskKind::Pool, pool::run(commands, reports_in, limits, memory.clone())));
     spawn_local(track_polls(TaskKind::Memory, watch::watch_memory(memory.clone())));
@@ -341,17 +341,17 @@
         class_names: listener_context.classes.names.clone(),
         contracts: listener_context.contracts.clone(),
         memory: memory.clone(),
-        figures: listener_context.figures.clone(),
+        metrics: listener_context.metrics.clone(),
     });
     // Before the first list, so that a cordoned node is never taken for ready.
     if let Some(cordons) = cordons {
-        broker.take_kept(clock::now(), &cordons);
+        broker.restore_overrides(clock::now(), &cordons);
     }
-    let (last, events) = config.known;
+    let (last, events) = config.initial_updates;
     apply_initial_updates(&mut broker, events);
     let reload = Reload {
-        discovery: config.xds.map(|xds| Live::new((xds.server, xds.refresh))),
-        coordinator: config.coordinator.map(Live::new),
+        discovery: config.xds.map(|xds| Reloadable::new((xds.server, xds.refresh))),
+        coordinator: config.coordinator.map(Reloadable::new),
         memory: memory.clone(),
         settings,
     };
@@ -362,9 +362,17 @@
         let following = coordinator::follow(address.clone(), last, seed, news_in, memory.clone());
         spawn_local(track_polls(TaskKind::Discovery, following));
     }
-    let inputs =
-        Inputs { news, operators, reports, asks, ready: ready.clone(), print: print.clone(), close: closes };
-    let mut broker_task = spawn_local(track_polls(TaskKind::Broker, broker::run(broker, inputs, commands_in)));
+    let inputs = Inputs {
+        updates: news,
+        operators,
+        reports,
+        requests: asks,
+        ready: ready.clone(),
+        print: print.clone(),
+        close: closes,
+    };
+    let mut broker_task =
+        spawn_local(track_polls(TaskKind::Broker, broker::run(broker, inputs, commands_in)));
     // The broker ends with the last connection that may send a request.
     let ListenerContext { listening, mut served, asks, .. } = listener_context;
     drop(asks);
@@ -378,9 +386,11 @@
     ready.set(false);
     let terminated_at = clock::now();
     let kill_at = terminated_at + longest_deadline.min(KILL_DEADLINE_MAX_S) + KILL_DELAY_S;
-    let _ = close.send(Close::AnswerBy(kill_at - ANSWERED_BEFORE_KILL_S));
+    let _ = close.send(Shutdown::AnswerBy(kill_at - ANSWERED_BEFORE_KILL_S));
     match succession {
-        Some(succession) => serve_or_hand_over(succession, &listening, terminated_at + CLOSING_WINDOW_S).await,
+        Some(succession) => {
+            serve_or_hand_over(succession, &listening, terminated_at + CLOSING_WINDOW_S).await
+        }
         None => {
             sleep_until(clock::instant(terminated_at + CLOSING_WINDOW_S)).await;
             // There may be a successor that has no way to announce itself.
@@ -388,24 +398,29 @@
         }
     }
     close_connections(&mut served, &listening, kill_at).await;
-    let _ = close.send(Close::WhenAnswered);
+    let _ = close.send(Shutdown::WhenAnswered);
     broker_task.await.map_err(std::io::Error::other)?;
     wait_for_last_answers(&memory, kill_at).await;
     Ok(())
 }
 
 /// Applies the updates from the configuration; the first full list counts as cached.
-fn apply_initial_updates(broker: &mut Broker, updates: Vec<News>) {
+fn apply_initial_updates(broker: &mut Broker, updates: Vec<DiscoveryUpdate>) {
     let mut first = true;
     for update in updates {
-        let cached = first && matches!(update, News::Roster { .. });
+        let cached = first && matches!(update, DiscoveryUpdate::NodeList { .. });
         first &= !cached;
-        broker.news(clock::now(), update, cached);
+        broker.apply_update(clock::now(), update, cached);
     }
 }
 
 /// Handles signals until SIGTERM.
-async fn handle_signals_until_sigterm(mut signals: Signals, print: &Notify, reload: &Reload, loaded: &LoadedSettings) {
+async fn handle_signals_until_sigterm(
+    mut signals: Signals,
+    print: &Notify,
+    reload: &Reload,
+    loaded: &LoadedSettings,
+) {
     loop {
         tokio::select! {
             Some(()) = signals.terminate.recv() => {
@@ -455,12 +470,12 @@
 async fn serve_or_hand_over(mut succession: Succession, listening: &ListenerState, window_end: f64) {
     let mut handed_over = false;
     loop {
-        if !handed_over && succession.another_serves() {
+        if !handed_over && succession.has_successor() {
             log!("a newer process serves beside this one: listener closing");
             listening.hand_over();
             handed_over = true;
         }
-        succession.withdraw();
+        succession.unregister();
         let now = clock::now();
         if now >= window_end {
             return;
--- a/src/memory/grant.rs
+++ b/src/memory/grant.rs
@@ -3,7 +3,8 @@
 
 use super::accounts::NO_TEAM;
 use super::{
-    Accounts, AuditFinding, Level, MemoryRefusal, Notice, Plan, Pressure, ProcessMemory, Purpose, ResidentMemoryAudit,
+    Accounts, AuditFinding, Level, MemoryRefusal, Notice, Plan, Pressure, ProcessMemory, Purpose,
+    ResidentMemoryAudit,
 };
 use std::cell::{Cell, Ref, RefCell, RefMut};
 use std::fmt;
@@ -137,7 +138,14 @@
     /// An empty grant, which may grow.
     pub fn empty_grant(&self, owner: AccountOwner) -> Grant {
         let (team, may_use_reserve) = (owner.team.unwrap_or(NO_TEAM), owner.may_use_reserve);
-        Grant { ledger: Some(self.clone()), purpose: owner.purpose, team, may_use_reserve, bytes: 0, counter: None }
+        Grant {
+            ledger: Some(self.clone()),
+            purpose: owner.purpose,
+            team,
+            may_use_reserve,
+            bytes: 0,
+            counter: None,
+        }
     }
 }
 
@@ -280,7 +288,8 @@
         };
         if !same_ledger
             || !same_counter
-            || (self.purpose, self.team, self.may_use_reserve) != (other.purpose, other.team, other.may_use_reserve)
+            || (self.purpose, self.team, self.may_use_reserve)
+                != (other.purpose, other.team, other.may_use_reserve)
         {
             return Err(other);
         }
--- a/src/memory/grant/tests.rs
+++ b/src/memory/grant/tests.rs
@@ -1,6 +1,6 @@
 //! Tests of `grant.rs`.
 
-use crate::memory::{LimitOverrides, AccountOwner, Ledger, Level, PURPOSES, Plan, Purpose};
+use crate::memory::{AccountOwner, Ledger, Level, LimitOverrides, PURPOSES, Plan, Purpose};
 
 /// The plan of `limits.memory_mb = 32` with this cap of the unread answers (bytes).
 fn plan(unread_cap: usize) -> Plan {
--- a/src/memory/model.rs
+++ b/src/memory/model.rs
@@ -49,10 +49,9 @@
     let mut replanned = false;
     let mut observed = 0;
     for step in steps {
-        let pick =
-            |which: u8, held: &Vec<OwnedGrant>| {
-                (!held.is_empty()).then(|| usize::from(which) % held.len().max(1))
-            };
+        let pick = |which: u8, held: &Vec<OwnedGrant>| {
+            (!held.is_empty()).then(|| usize::from(which) % held.len().max(1))
+        };
         match *step {
             Step::Acquire { purpose, team, may_use_reserve, bytes } => {
                 let purpose = Purpose::ALL[usize::from(purpose) % (PURPOSES - 1)];
@@ -162,10 +161,16 @@
             let granted: usize = held.iter().filter(of).map(|h| h.grant.bytes()).sum();
             let snapshot = accounts.snapshot(purpose);
             let granted = if purpose == Purpose::Program { observed } else { granted };
-            prop_assert_eq!(snapshot.now, granted, "the sum of grants differs from account {}", purpose.name());
+            prop_assert_eq!(
+                snapshot.now,
+                granted,
+                "the sum of grants differs from account {}",
+                purpose.name()
+            );
             prop_assert!(replanned || snapshot.now <= snapshot.cap, "{} is over its cap", purpose.name());
             prop_assert!(
-                snapshot.peak >= snapshot.now && snapshot.borrowed == snapshot.now.saturating_sub(snapshot.guarantee)
+                snapshot.peak >= snapshot.now
+                    && snapshot.borrowed == snapshot.now.saturating_sub(snapshot.guarantee)
             );
             for team in 0..TEAMS {
                 let mine = held.iter().filter(of).filter(|h| h.owner.team == Some(team));
@@ -215,7 +220,10 @@
     let leak = check(InjectedFault::Leak).unwrap_err().to_string();
     assert!(leak.contains("the sum of grants"), "{leak}");
     let double_release = check(InjectedFault::DoubleRelease).unwrap_err().to_string();
-    assert!(double_release.contains("the sum of grants") || double_release.contains("more than it holds"), "{double_release}");
+    assert!(
+        double_release.contains("the sum of grants") || double_release.contains("more than it holds"),
+        "{double_release}"
+    );
 }
 
 /// Guarantees and reserves stay available even when other accounts have borrowed the whole shared remainder.
--- a/src/memory/plan.rs
+++ b/src/memory/plan.rs
@@ -61,7 +61,11 @@
 impl Plan {
     /// A plan for `total` bytes with the operator's settings of each account. The error names the settings
     /// that do not fit together, and their values.
-    pub fn new(total: usize, overrides: &[LimitOverrides; PURPOSES], team_share: f64) -> Result<Plan, String> {
+    pub fn new(
+        total: usize,
+        overrides: &[LimitOverrides; PURPOSES],
+        team_share: f64,
+    ) -> Result<Plan, String> {
         // Where the program takes more than its share, the other accounts share what remains.
         let program_min = PROGRAM_BYTES_MIN.min(total / 2);
         let program = program_min.max((total as f64 * default_shares(Purpose::Program).0) as usize);
@@ -71,18 +75,25 @@
         for purpose in Purpose::ALL {
             let (set, (guarantee, cap, reserve)) = (&overrides[purpose as usize], default_shares(purpose));
             let mut limit = match purpose {
-                Purpose::Program => Limit { guarantee: program, cap: bytes_of(cap).max(2 * program_min), reserve: 0 },
+                Purpose::Program => {
+                    Limit { guarantee: program, cap: bytes_of(cap).max(2 * program_min), reserve: 0 }
+                }
                 Purpose::Signed => {
                     let reserve = bytes_of(reserve).max(SIGNED_RESERVE_MIN.min(total / 16));
-                    Limit { guarantee: bytes_of(guarantee).max(reserve), cap: bytes_of(cap).max(2 * reserve), reserve }
+                    Limit {
+                        guarantee: bytes_of(guarantee).max(reserve),
+                        cap: bytes_of(cap).max(2 * reserve),
+                        reserve,
+                    }
                 }
                 _ => Limit { guarantee: bytes_of(guarantee), cap: bytes_of(cap), reserve: bytes_of(reserve) },
             };
             // A setting adjusts the limits that are not set: a lower cap lowers guarantee and reserve in
             // proportion, a guarantee raises the cap.
             if let Some(cap) = set.cap {
-                let scale =
-                    |limit_bytes: usize| (limit_bytes as f64 * (cap as f64 / limit.cap.max(1) as f64).min(1.0)) as usize;
+                let scale = |limit_bytes: usize| {
+                    (limit_bytes as f64 * (cap as f64 / limit.cap.max(1) as f64).min(1.0)) as usize
+                };
                 limit = Limit { cap, guarantee: scale(limit.guarantee), reserve: scale(limit.reserve) };
             }
             if let Some(guarantee) = set.guarantee {
@@ -115,7 +126,8 @@
         let sum: usize = limits.iter().map(|l| l.guarantee).sum();
         if sum > total {
             let with_guarantee = Purpose::ALL.iter().filter(|p| overrides[**p as usize].guarantee.is_some());
-            let keys: Vec<String> = with_guarantee.map(|p| format!("'memory.{}.guarantee'", p.name())).collect();
+            let keys: Vec<String> =
+                with_guarantee.map(|p| format!("'memory.{}.guarantee'", p.name())).collect();
             let keys = if keys.is_empty() { "'limits.memory_mb'".to_owned() } else { keys.join(", ") };
             return Err(format!(
                 "{keys}: all guarantees sum to {sum}, which is over the total of {total} bytes"
@@ -168,9 +180,11 @@
         assert!(plan_with(Purpose::Bodies, lavish).unwrap_err().contains("'memory.bodies.reserve'"));
         // A cap alone lowers the guarantee and the reserve in proportion.
         let default = Plan::new(32_000_000, &unset, 0.5).unwrap().limits[Purpose::Bodies as usize];
-        let plan =
-            plan_with(Purpose::Bodies, LimitOverrides { cap: Some(default.cap / 4), ..LimitOverrides::default() })
-                .unwrap();
+        let plan = plan_with(
+            Purpose::Bodies,
+            LimitOverrides { cap: Some(default.cap / 4), ..LimitOverrides::default() },
+        )
+        .unwrap();
         let limit = plan.limits[Purpose::Bodies as usize];
         assert!(
             limit.guarantee.abs_diff(default.guarantee / 4) < 2
--- a/src/memory/pressure.rs
+++ b/src/memory/pressure.rs
@@ -101,7 +101,8 @@
         let now = self.level as usize;
         let mut next = now.clamp(entered, kept.max(entered));
         let unread = accounts.fullness(Purpose::Unread);
-        self.unread_crowded = unread > if self.unread_crowded { UNREAD_CROWDED_LEAVE } else { UNREAD_CROWDED_ENTER };
+        self.unread_crowded =
+            unread > if self.unread_crowded { UNREAD_CROWDED_LEAVE } else { UNREAD_CROWDED_ENTER };
         if self.unread_crowded {
             next = next.max(Level::HoldSlow as usize);
         }
@@ -138,7 +139,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::memory::{LimitOverrides, AccountOwner, Ledger, PURPOSES, Plan};
+    use crate::memory::{AccountOwner, Ledger, LimitOverrides, PURPOSES, Plan};
 
     #[test]
     fn levels_are_entered_in_order_and_left_with_hysteresis() {
@@ -174,7 +175,10 @@
         let free = ledger.accounts().remainder().0;
         assert!(large.admits(&ledger.accounts(), free / 10, false));
         assert!(!large.admits(&ledger.accounts(), free / 5, false));
-        assert_eq!((large.idle_connections_to_close(25), Pressure::default().idle_connections_to_close(25)), (3, 0));
+        assert_eq!(
+            (large.idle_connections_to_close(25), Pressure::default().idle_connections_to_close(25)),
+            (3, 0)
+        );
     }
 
     /// A full account of unread answers stops reading from the clients that fill it, and from no others.
@@ -186,8 +190,10 @@
         let ledger = Ledger::new(plan, 0);
         let limit = plan.limits[Purpose::Unread as usize];
         let _full = ledger.acquire(AccountOwner::of(Purpose::Unread), limit.cap - limit.reserve).unwrap();
-        let _priority =
-            ledger.acquire(AccountOwner { may_use_reserve: true, ..AccountOwner::of(Purpose::Unread) }, limit.reserve);
+        let _priority = ledger.acquire(
+            AccountOwner { may_use_reserve: true, ..AccountOwner::of(Purpose::Unread) },
+            limit.reserve,
+        );
         let mut pressure = Pressure::default();
         assert!(pressure.update(&ledger.accounts()) >= Level::HoldSlow);
         assert!(!pressure.may_read(&ledger.accounts(), limit.cap / 10, 100));
--- a/src/memory/resident_audit.rs
+++ b/src/memory/resident_audit.rs
@@ -93,7 +93,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::memory::{LimitOverrides, AccountOwner, Ledger, PURPOSES, Plan};
+    use crate::memory::{AccountOwner, Ledger, LimitOverrides, PURPOSES, Plan};
 
     #[test]
     fn unaccounted_memory_is_booked_to_the_program_and_its_growth_is_logged_once() {
@@ -102,16 +102,16 @@
         let (mut audit, mut findings) = (ResidentMemoryAudit::default(), Vec::new());
         for resident in [5_000_000, 5_500_000, 7_000_000, 7_100_000, 40_000_000, 41_000_000] {
             findings.push(
-                audit.audit(&mut ledger.accounts_mut(), ProcessMemory { resident, ..ProcessMemory::default() }),
+                audit.audit(
+                    &mut ledger.accounts_mut(),
+                    ProcessMemory { resident, ..ProcessMemory::default() },
+                ),
             );
         }
         let cap = ledger.accounts().snapshot(Purpose::Program).cap;
         let normal = AuditFinding::Normal;
         let over_cap = AuditFinding::OverCap { unaccounted: 40_000_000, cap };
-        assert_eq!(
-            findings,
-            [normal, normal, AuditFinding::Grew(7_000_000), normal, over_cap, normal]
-        );
+        assert_eq!(findings, [normal, normal, AuditFinding::Grew(7_000_000), normal, over_cap, normal]);
         // Accounted memory is not booked to the program; the unaccounted memory falls slowly.
         let _held = ledger.acquire(AccountOwner::of(Purpose::Clients), 2_000_000).unwrap();
         for _ in 0..50 {
--- a/src/spread/popularity.rs
+++ b/src/spread/popularity.rs
@@ -123,7 +123,9 @@
     #[test]
     fn object_with_repeated_requests_is_hot_until_its_counts_decay() {
         let mut sketch = PopularitySketch::default();
-        let homes = |sketch: &PopularitySketch, now, object, part| sketch.home_count(now, ObjectId(object), part, 0.2, 20);
+        let homes = |sketch: &PopularitySketch, now, object, part| {
+            sketch.home_count(now, ObjectId(object), part, 0.2, 20)
+        };
         for i in 0..40 {
             let now = 1000.0 + i as f64;
             sketch.record(now, ObjectId(100 + i), 0, 0.2);
--- a/src/spread/rendezvous.rs
+++ b/src/spread/rendezvous.rs
@@ -74,7 +74,8 @@
     use std::collections::BTreeMap;
 
     fn caches(weights: &[f64]) -> Vec<WeightedCache> {
-        let weighted = |(i, &weight): (usize, &f64)| WeightedCache { node: NodeId(i as u64 * 7919 + 3), weight };
+        let weighted =
+            |(i, &weight): (usize, &f64)| WeightedCache { node: NodeId(i as u64 * 7919 + 3), weight };
         weights.iter().enumerate().map(weighted).collect()
     }
 
@@ -83,7 +84,9 @@
         let all = caches(&[1.0, 8.0, 2.0, 5.0]);
         let mut count = BTreeMap::new();
         for object in 0..16_000 {
-            *count.entry(RendezvousOrder::new(object, 1, all.iter().copied()).pick(1, 5, |_| 0.0)).or_insert(0) += 1;
+            *count
+                .entry(RendezvousOrder::new(object, 1, all.iter().copied()).pick(1, 5, |_| 0.0))
+                .or_insert(0) += 1;
         }
         for cache in &all {
             let share = f64::from(count[&Some(cache.node)]) / 16_000.0 * 16.0;
--- a/src/spread/slow_start.rs
+++ b/src/spread/slow_start.rs
@@ -48,22 +48,22 @@
 impl SlowStart {
     /// The slow start of parents or of caches by the settings.
     pub fn from_settings(s: &Settings, parents: bool) -> SlowStart {
-        let window_s = s.fall_window;
+        let window_s = s.overload_window;
         if parents {
             return SlowStart {
-                initial_share: s.parent_cold_from,
-                ramp_s: s.parent_cold_for,
-                overload_multiple: s.parent_fall_multiple,
+                initial_share: s.parent_cold_start_share,
+                ramp_s: s.parent_warm_up_time,
+                overload_multiple: s.parent_overload_multiple,
                 window_s,
                 sharers: f64::from(s.directors.max(1)),
             };
         }
         SlowStart {
-            initial_share: s.cold_from,
-            ramp_s: s.cold_for,
-            overload_multiple: s.fall_multiple,
+            initial_share: s.cold_start_share,
+            ramp_s: s.warm_up_time,
+            overload_multiple: s.overload_multiple,
             window_s,
-            sharers: s.sharers(),
+            sharers: s.own_zone_directors(),
         }
     }
 
--- a/src/spread/slow_start/tests.rs
+++ b/src/spread/slow_start/tests.rs
@@ -23,13 +23,28 @@
             attempts += 1;
             let recent_work = if *last + SLOW_START.window_s > now { work } else { 0.0 };
             let seed = me as u64 * 7919;
-            if SLOW_START.admits(SlowStartRequest { now, ready_at: 100.0, link, work, recent_work, rate: estimated_rate, seed }) {
+            if SLOW_START.admits(SlowStartRequest {
+                now,
+                ready_at: 100.0,
+                link,
+                work,
+                recent_work,
+                rate: estimated_rate,
+                seed,
+            }) {
                 *last = now;
                 sent.push((now, work));
             }
         }
-        let window_work: f64 = sent.iter().rev().take_while(|s| s.0 > now - SLOW_START.window_s).map(|s| s.1).sum();
-        worst = worst.max(window_work / (SLOW_START.overload_multiple * SLOW_START.capacity_share(now, 100.0) * link * SLOW_START.window_s));
+        let window_work: f64 =
+            sent.iter().rev().take_while(|s| s.0 > now - SLOW_START.window_s).map(|s| s.1).sum();
+        worst = worst.max(
+            window_work
+                / (SLOW_START.overload_multiple
+                    * SLOW_START.capacity_share(now, 100.0)
+                    * link
+                    * SLOW_START.window_s),
+        );
     }
     (worst, sent.len() as f64 / f64::from(attempts))
 }
@@ -136,8 +151,10 @@
 /// fronts.
 #[test]
 fn fleets_of_any_size_do_not_overload_a_cold_node() {
-    let thin = SlowStart { initial_share: 0.2, ramp_s: 12.0, overload_multiple: 2.0, window_s: 1.0, sharers: 0.0 };
-    let wide = SlowStart { initial_share: 0.4, ramp_s: 9.0, overload_multiple: 3.0, window_s: 2.0, sharers: 0.0 };
+    let thin =
+        SlowStart { initial_share: 0.2, ramp_s: 12.0, overload_multiple: 2.0, window_s: 1.0, sharers: 0.0 };
+    let wide =
+        SlowStart { initial_share: 0.4, ramp_s: 9.0, overload_multiple: 3.0, window_s: 2.0, sharers: 0.0 };
     for fronts in [1, 2, 6, 20, 30, 300] {
         for (name, cold, link) in [("thin", thin, 2.0), ("wide", wide, 8.0)] {
             // The load of the fleet is relative to the capacity of the warm node.
--- a/src/turns.rs
+++ b/src/turns.rs
@@ -203,7 +203,9 @@
     METER.set(TurnMeter::new(Instant::now(), processor_time()));
     Builder::new_current_thread()
         .enable_all()
-        .on_thread_park(|| log_long_turn(METER.with_borrow_mut(|meter| meter.end_turn(Instant::now(), processor_time))))
+        .on_thread_park(|| {
+            log_long_turn(METER.with_borrow_mut(|meter| meter.end_turn(Instant::now(), processor_time)))
+        })
         .on_thread_unpark(|| METER.with_borrow_mut(|meter| meter.begin_turn(Instant::now())))
         .build()
 }
--- a/src/watch/tests.rs
+++ b/src/watch/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of `watch.rs`.
 
 use super::{HeapPages, sample};
-use crate::memory::{LimitOverrides, Ledger, PURPOSES, Plan, Purpose};
+use crate::memory::{Ledger, LimitOverrides, PURPOSES, Plan, Purpose};
 use std::cell::Cell;
 
 /// Pages that the allocator returns to the system between the two readings of a sample must not be booked to
