--- a/src/memory/grant/tests.rs
+++ b/src/memory/grant/tests.rs
@@ -20,18 +20,18 @@
     // Observed on a front whose executable was mapped in large pages.
     ledger.accounts_mut().observe(15_350_000);
     ledger.replan(lowered);
-    assert_eq!(ledger.level(), Level::ReserveOnly);
+    assert_eq!(ledger.update_level(), Level::ReserveOnly);
     assert!(!ledger.admits(REQUEST, false));
     drop(unread);
     ledger.replan(normal);
     let (free, shared) = ledger.accounts().remainder();
     let share = free as f64 / shared as f64;
     assert!(0.05 < share && share < 0.15, "not within the hysteresis of the level: {share}");
-    assert!(ledger.level() < Level::ReserveOnly);
+    assert!(ledger.update_level() < Level::ReserveOnly);
     assert!(ledger.admits(REQUEST, false));
     // A change of limits does not end a level that is due under the new limits.
     ledger.accounts_mut().observe(16_000_000);
     ledger.replan(lowered);
     ledger.replan(normal);
-    assert_eq!(ledger.level(), Level::ReserveOnly);
+    assert_eq!(ledger.update_level(), Level::ReserveOnly);
 }
--- a/src/planted.rs
+++ b/src/planted.rs
@@ -56,7 +56,9 @@
 /// Returns whether to refuse a request: `refuse=SHARE` refuses this share, with `class=N` only of that class,
 /// and with `after=S` only from then on.
 pub fn should_refuse(class: u16) -> bool {
-    thread_local!(static RANDOM: RefCell<fastrand::Rng> = const { RefCell::new(fastrand::Rng::with_seed(1)) });
+    thread_local! {
+        static RANDOM: RefCell<fastrand::Rng> = const { RefCell::new(fastrand::Rng::with_seed(1)) };
+    }
     let Some(share) = number("refuse") else { return false };
     if number("class").is_some_and(|c| c as u16 != class) || since("after").is_some_and(|s| s < 0.0) {
         return false;
--- a/src/watch.rs
+++ b/src/watch.rs
@@ -64,8 +64,8 @@
             match notice {
                 Notice::RefusalsBegan(s) => {
                     log!(
-                        "memory: '{}' refuses: {} bytes held, cap {}, {} shared bytes free; level {}; resident \
-                         {}, of these {} in the allocator, {} in its active pages",
+                        "memory: '{}' refuses: {} bytes held, cap {}, {} shared bytes free; level {}; \
+                         resident {}, of these {} in the allocator, {} in its active pages",
                         s.purpose.name(),
                         s.now,
                         s.cap,
