--- a/src/main.rs
+++ b/src/main.rs
@@ -126,11 +126,11 @@
             Ok(reloaded) => reloaded,
             Err(message) => return log!("reload: {message}; the old settings stay"),
         };
-        if let (Some(live), Some(xds)) = (&self.discovery, &reloaded.xds) {
-            live.set((xds.server, xds.refresh));
+        if let (Some(discovery), Some(xds)) = (&self.discovery, &reloaded.xds) {
+            discovery.set((xds.server, xds.refresh));
         }
-        if let (Some(live), Some(address)) = (&self.coordinator, reloaded.coordinator) {
-            live.set(address);
+        if let (Some(coordinator), Some(address)) = (&self.coordinator, reloaded.coordinator) {
+            coordinator.set(address);
         }
         if *self.memory.accounts().plan() != reloaded.memory {
             self.memory.replan(reloaded.memory);
@@ -148,7 +148,7 @@
 
 /// The state that the listeners for clients and for signed links share.
 struct ListenerContext {
-    asks: Sender<Input>,
+    broker_inputs: Sender<Input>,
     classes: Rc<Classes>,
     contracts: Rc<Contracts>,
     ready: Rc<Cell<bool>>,
@@ -156,30 +156,30 @@
     memory: Ledger,
     numbers: Rc<Cell<u64>>,
     /// Upper limit of the connections of one listener.
-    connections: usize,
+    max_connections: usize,
     /// Retry delay in refusals by the front itself (seconds).
-    wait: f64,
-    listening: Rc<ListenerState>,
-    served: JoinSet<()>,
+    pushback: f64,
+    listener_state: Rc<ListenerState>,
+    listener_tasks: JoinSet<()>,
 }
 
 impl ListenerContext {
     /// Starts to serve RESP clients.
     fn serve_clients(&mut self, name: &str, listener: TcpListener) -> std::io::Result<()> {
-        let front = clients::ClientContext {
-            broker_inputs: self.asks.clone(),
+        let context = clients::ClientContext {
+            broker_inputs: self.broker_inputs.clone(),
             classes: self.classes.clone(),
             contracts: self.contracts.clone(),
             ready: self.ready.clone(),
-            max_connections: self.connections,
+            max_connections: self.max_connections,
             numbers: self.numbers.clone(),
             memory: self.memory.clone(),
-            pushback: self.wait,
+            pushback: self.pushback,
             metrics: self.metrics.clone(),
         };
         log!("{name} serves on {}", listener.local_addr()?);
-        let accepting = clients::accept(listener, Rc::new(front), self.listening.clone());
-        self.served.spawn_local(track_polls(TaskKind::Listener, accepting));
+        let accepting = clients::accept(listener, Rc::new(context), self.listener_state.clone());
+        self.listener_tasks.spawn_local(track_polls(TaskKind::Listener, accepting));
         Ok(())
     }
 
@@ -201,22 +201,22 @@
         let times = (signed.keys_refresh, signed.key_overlap);
         let key_reloads = signed::watch_keys(signed.keys, text, keys.clone(), times, grant);
         spawn_local(track_polls(TaskKind::Keys, key_reloads));
-        let front = signed::Front {
-            asks: self.asks.clone(),
+        let context = signed::Front {
+            asks: self.broker_inputs.clone(),
             contracts: self.contracts.clone(),
             classes,
             base: signed.base,
             audience: signed.audience,
             leeway: signed.leeway,
             keys,
-            connections: self.connections,
+            connections: self.max_connections,
             numbers: self.numbers.clone(),
             memory: self.memory.clone(),
-            wait: self.wait,
+            wait: self.pushback,
         };
         log!("{name} serves signed links on {}", listener.local_addr()?);
-        let accepting = signed::accept(listener, Rc::new(front), self.listening.clone());
-        self.served.spawn_local(track_polls(TaskKind::Listener, accepting));
+        let accepting = signed::accept(listener, Rc::new(context), self.listener_state.clone());
+        self.listener_tasks.spawn_local(track_polls(TaskKind::Listener, accepting));
         Ok(())
     }
 }
@@ -266,14 +266,15 @@
 
 async fn run(config: Config, signals: Signals) -> std::io::Result<()> {
     let settings = Rc::new(Cell::new(config.loaded.digest()));
-    let (news_in, news) = unbounded_channel();
+    let (updates_in, updates) = unbounded_channel();
     let (operators_in, operators) = unbounded_channel();
     let (reports_in, reports) = unbounded_channel();
     let (commands_in, commands) = unbounded_channel();
-    let waiting = config.memory.limits[Purpose::Waiting as usize].cap;
-    let (asks_in, asks) = channel((waiting / broker::REQUEST_OVERHEAD_BYTES).clamp(1, REQUEST_QUEUE_MAX));
-    let (close, closes) = unbounded_channel();
-    let print = Rc::new(Notify::new());
+    let waiting_cap = config.memory.limits[Purpose::Waiting as usize].cap;
+    let (requests_in, requests) =
+        channel((waiting_cap / broker::REQUEST_OVERHEAD_BYTES).clamp(1, REQUEST_QUEUE_MAX));
+    let (shutdown, shutdowns) = unbounded_channel();
+    let print_counters = Rc::new(Notify::new());
     let ready = Rc::new(Cell::new(false));
     let memory = Ledger::new(config.memory, config.contracts.0.len());
     let longest_deadline = config.settings.classes.iter().map(|c| c.deadline).fold(0.0, f64::max);
@@ -287,7 +288,7 @@
     }
     let classes = Rc::new(config.classes);
     let mut listener_context = ListenerContext {
-        asks: asks_in,
+        broker_inputs: requests_in,
         metrics: Metrics::new(classes.names.clone()),
         classes,
         contracts: Rc::new(config.contracts),
@@ -296,10 +297,10 @@
         numbers: Rc::default(),
         // Clients hold at most a third; the rest is for connections that they have closed and this process
         // has not yet.
-        connections: config.max_descriptors * 2 / 5 / listeners.all().count().max(1),
-        wait: config.settings.max_retry_after,
-        listening: ListenerState::new(),
-        served: JoinSet::new(),
+        max_connections: config.max_descriptors * 2 / 5 / listeners.all().count().max(1),
+        pushback: config.settings.max_retry_after,
+        listener_state: ListenerState::new(),
+        listener_tasks: JoinSet::new(),
     };
     if let Some(listener) = listeners.clients {
         listener_context.serve_clients(&config.name, listener)?;
@@ -347,8 +348,8 @@
     if let Some(cordons) = cordons {
         broker.restore_overrides(clock::now(), &cordons);
     }
-    let (last, events) = config.initial_updates;
-    apply_initial_updates(&mut broker, events);
+    let (last_number, initial_updates) = config.initial_updates;
+    apply_initial_updates(&mut broker, initial_updates);
     let reload = Reload {
         discovery: config.xds.map(|xds| Reloadable::new((xds.server, xds.refresh))),
         coordinator: config.coordinator.map(Reloadable::new),
@@ -356,29 +357,29 @@
         settings,
     };
     if let Some(server) = &reload.discovery {
-        let following = xds::follow(server.clone(), config.name, config.names, news_in, memory.clone());
-        spawn_local(track_polls(TaskKind::Discovery, following));
+        let discovery = xds::follow(server.clone(), config.name, config.names, updates_in, memory.clone());
+        spawn_local(track_polls(TaskKind::Discovery, discovery));
     } else if let Some(address) = &reload.coordinator {
-        let following = coordinator::follow(address.clone(), last, seed, news_in, memory.clone());
-        spawn_local(track_polls(TaskKind::Discovery, following));
+        let discovery = coordinator::follow(address.clone(), last_number, seed, updates_in, memory.clone());
+        spawn_local(track_polls(TaskKind::Discovery, discovery));
     }
     let inputs = Inputs {
-        updates: news,
+        updates,
         operators,
         reports,
-        requests: asks,
+        requests,
         ready: ready.clone(),
-        print: print.clone(),
-        close: closes,
+        print: print_counters.clone(),
+        close: shutdowns,
     };
     let mut broker_task =
         spawn_local(track_polls(TaskKind::Broker, broker::run(broker, inputs, commands_in)));
     // The broker ends with the last connection that may send a request.
-    let ListenerContext { listening, mut served, asks, .. } = listener_context;
-    drop(asks);
+    let ListenerContext { listener_state, mut listener_tasks, broker_inputs, .. } = listener_context;
+    drop(broker_inputs);
 
     tokio::select! {
-        () = handle_signals_until_sigterm(signals, &print, &reload, &config.loaded) => {}
+        () = handle_signals_until_sigterm(signals, &print_counters, &reload, &config.loaded) => {}
         result = &mut broker_task => return result.map_err(std::io::Error::other),
     }
     // Health checks fail from here on. Clients are still served until the closing window is over and all
@@ -386,19 +387,19 @@
     ready.set(false);
     let terminated_at = clock::now();
     let kill_at = terminated_at + longest_deadline.min(KILL_DEADLINE_MAX_S) + KILL_DELAY_S;
-    let _ = close.send(Shutdown::AnswerBy(kill_at - ANSWERED_BEFORE_KILL_S));
+    let _ = shutdown.send(Shutdown::AnswerBy(kill_at - ANSWERED_BEFORE_KILL_S));
     match succession {
         Some(succession) => {
-            serve_or_hand_over(succession, &listening, terminated_at + CLOSING_WINDOW_S).await
+            serve_or_hand_over(succession, &listener_state, terminated_at + CLOSING_WINDOW_S).await
         }
         None => {
             sleep_until(clock::instant(terminated_at + CLOSING_WINDOW_S)).await;
             // There may be a successor that has no way to announce itself.
-            listening.hand_over();
+            listener_state.hand_over();
         }
     }
-    close_connections(&mut served, &listening, kill_at).await;
-    let _ = close.send(Shutdown::WhenAnswered);
+    close_connections(&mut listener_tasks, &listener_state, kill_at).await;
+    let _ = shutdown.send(Shutdown::WhenAnswered);
     broker_task.await.map_err(std::io::Error::other)?;
     wait_for_last_answers(&memory, kill_at).await;
     Ok(())
@@ -417,7 +418,7 @@
 /// Handles signals until SIGTERM.
 async fn handle_signals_until_sigterm(
     mut signals: Signals,
-    print: &Notify,
+    print_counters: &Notify,
     reload: &Reload,
     loaded: &LoadedSettings,
 ) {
@@ -430,7 +431,7 @@
                 }
                 return;
             }
-            Some(()) = signals.usr1.recv() => print.notify_one(),
+            Some(()) = signals.usr1.recv() => print_counters.notify_one(),
             Some(()) = signals.hangup.recv() => reload.apply(loaded),
         }
     }
@@ -440,17 +441,17 @@
 /// process that ended with open connections would reset those on which data arrives just then, and the last
 /// answers would be lost. A connection whose client never pauses is idle only once the broker has answered
 /// all its requests.
-async fn close_connections(served: &mut JoinSet<()>, listening: &ListenerState, kill_at: f64) {
-    listening.close();
-    let all_closed = async { while served.join_next().await.is_some() {} };
-    let time_is_up = async {
+async fn close_connections(listener_tasks: &mut JoinSet<()>, listener_state: &ListenerState, kill_at: f64) {
+    listener_state.close();
+    let all_closed = async { while listener_tasks.join_next().await.is_some() {} };
+    let deadline = async {
         sleep_until(clock::instant(kill_at - ANSWERED_BEFORE_KILL_S)).await;
-        listening.end();
+        listener_state.end();
         sleep_until(clock::instant(kill_at - WRITTEN_BEFORE_KILL_S)).await;
     };
     tokio::select! {
         () = all_closed => {}
-        () = time_is_up => {}
+        () = deadline => {}
     }
 }
 
@@ -467,12 +468,12 @@
 /// Serves until the closing window is over. A successor gets the clients, also one that starts during the
 /// window: no client may wait for this process at its listener or on an idle connection. A process that is
 /// itself shutting down is no successor: this process then accepts clients to the end of the window.
-async fn serve_or_hand_over(mut succession: Succession, listening: &ListenerState, window_end: f64) {
+async fn serve_or_hand_over(mut succession: Succession, listener_state: &ListenerState, window_end: f64) {
     let mut handed_over = false;
     loop {
         if !handed_over && succession.has_successor() {
             log!("a newer process serves beside this one: listener closing");
-            listening.hand_over();
+            listener_state.hand_over();
             handed_over = true;
         }
         succession.unregister();
