--- a/src/spread/homes.rs
+++ b/src/spread/rendezvous.rs
@@ -1,69 +1,70 @@
-//! Where an object is at home: an order of the caches that is the same at all fronts (weighted rendezvous),
-//! of which a hot object has several and each front uses the one that its own load leaves emptiest.
+//! Placement of objects on caches by weighted rendezvous hashing: an order of the caches for each object that
+//! is the same at all fronts. A hot object has several homes, and each front uses the one that it has sent
+//! the least.
 //!
-//! Weighted rendezvous: a cache scores `weight / -ln(u)`, with `u` drawn evenly by hash of cache and object;
-//! the highest score wins, which gives each cache objects in proportion to its weight, and a cache that comes
-//! or goes moves only its own (Schindelhauer and Schomaker, 2005).
+//! A cache scores `weight / -ln(u)`, with `u` drawn uniformly by hash of cache and object, and the highest
+//! score wins. Each cache gets objects in proportion to its weight, and a cache that joins or leaves moves
+//! only its own objects (Schindelhauer and Schomaker, 2005).
 
 use crate::interface::NodeId;
 use std::cmp::Ordering;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// A number from 0 to 1, both left out, drawn evenly by hash.
+/// A uniform number in the open interval from 0 to 1, drawn by hash.
 pub fn unit_hash(value: u64, seed: u64) -> f64 {
     ((xxh3_64_with_seed(&value.to_le_bytes(), seed) >> 12) as f64 + 0.5) / (1u64 << 52) as f64
 }
 
-/// A cache that can take an attempt.
+/// A cache that can take an attempt, with its weight in the placement.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct WeightedCache {
-    /// Who.
+    /// The cache.
     pub node: NodeId,
-    /// The size of its link beside those of the others; above 0.
+    /// Size of its link relative to those of the others; above 0.
     pub weight: f64,
 }
 
-/// The caches in the order in which an object is at home with them.
+/// The caches in the order of their scores for one object.
 #[derive(Debug)]
 pub struct RendezvousOrder {
     order: Vec<(f64, WeightedCache)>,
 }
 
 impl RendezvousOrder {
-    /// The order of `object`, of which the first `count + 1` are wanted.
+    /// The first `count + 1` caches in the order of `object`.
     pub fn new(object: u64, count: usize, caches: impl Iterator<Item = WeightedCache>) -> RendezvousOrder {
-        let score = |home: WeightedCache| (home.weight / -unit_hash(home.node.0, object).ln(), home);
+        let score = |cache: WeightedCache| (cache.weight / -unit_hash(cache.node.0, object).ln(), cache);
         let mut order: Vec<(f64, WeightedCache)> = caches.map(score).collect();
-        let first = |a: &(f64, WeightedCache), b: &(f64, WeightedCache)| {
+        let by_score = |a: &(f64, WeightedCache), b: &(f64, WeightedCache)| {
             b.0.total_cmp(&a.0).then(b.1.node.cmp(&a.1.node))
         };
         let wanted = count + 1;
         if wanted < order.len() {
-            order.select_nth_unstable_by(wanted - 1, first);
+            order.select_nth_unstable_by(wanted - 1, by_score);
             order.truncate(wanted);
         }
-        order.sort_unstable_by(first);
+        order.sort_unstable_by(by_score);
         RendezvousOrder { order }
     }
 
-    /// Of the first `count` homes the one with the least load of this front's own, as `load` tells it per unit of
-    /// their links; of equals the one that `seed` draws, so that fronts with the same news and no load yet are
-    /// spread over all of them. A single home is not asked for its load.
+    /// The least loaded of the first `count` homes by `load`, this front's own load on a node per unit of its
+    /// link. Ties are broken by `seed`, so that fronts with the same information and no load yet are spread
+    /// over all homes. `load` is not called for a single home.
     pub fn pick(&self, count: usize, seed: u64, load: impl Fn(NodeId) -> f64) -> Option<NodeId> {
         if count <= 1 {
             return self.order.first().map(|h| h.1.node);
         }
         let homes = self.order.iter().take(count).map(|h| (load(h.1.node), h.1.node));
-        let least = |a: &(f64, NodeId), b: &(f64, NodeId)| -> Ordering {
-            let own = |n: NodeId| unit_hash(n.0, seed);
-            a.0.total_cmp(&b.0).then_with(|| own(a.1).total_cmp(&own(b.1)))
+        let by_load = |a: &(f64, NodeId), b: &(f64, NodeId)| -> Ordering {
+            let tie_break = |n: NodeId| unit_hash(n.0, seed);
+            a.0.total_cmp(&b.0).then_with(|| tie_break(a.1).total_cmp(&tie_break(b.1)))
         };
-        homes.min_by(least).map(|h| h.1)
+        homes.min_by(by_load).map(|h| h.1)
     }
 
-    /// The first home that is not this one.
-    pub fn first_except(&self, than: NodeId) -> Option<NodeId> {
-        self.order.iter().map(|h| h.1.node).find(|&n| n != than)
+    /// The first home other than `excluded`.
+    pub fn first_except(&self, excluded: NodeId) -> Option<NodeId> {
+        self.order.iter().map(|h| h.1.node).find(|&n| n != excluded)
     }
 }
 
@@ -73,12 +74,13 @@
     use std::collections::BTreeMap;
 
     fn caches(weights: &[f64]) -> Vec<WeightedCache> {
-        let one = |(i, &weight): (usize, &f64)| WeightedCache { node: NodeId(i as u64 * 7919 + 3), weight };
-        weights.iter().enumerate().map(one).collect()
+        let weighted =
+            |(i, &weight): (usize, &f64)| WeightedCache { node: NodeId(i as u64 * 7919 + 3), weight };
+        weights.iter().enumerate().map(weighted).collect()
     }
 
     #[test]
-    fn objects_are_at_home_in_proportion_to_links() {
+    fn objects_are_placed_in_proportion_to_weights() {
         let all = caches(&[1.0, 8.0, 2.0, 5.0]);
         let mut count = BTreeMap::new();
         for object in 0..16_000 {
@@ -93,7 +95,7 @@
     }
 
     #[test]
-    fn a_cache_that_goes_moves_only_its_own_objects() {
+    fn removed_cache_moves_only_its_own_objects() {
         let all = caches(&[4.0; 10]);
         for object in 0..500 {
             let before = RendezvousOrder::new(object, 1, all.iter().copied()).pick(1, 5, |_| 0.0);
@@ -104,15 +106,15 @@
     }
 
     #[test]
-    fn fronts_use_all_homes_of_a_hot_object_and_their_least_loaded_first() {
+    fn fronts_use_all_homes_of_a_hot_object_and_prefer_the_least_loaded() {
         let all = caches(&[4.0; 10]);
         let picks: Vec<_> = (0..200)
             .map(|seed| RendezvousOrder::new(9, 4, all.iter().copied()).pick(4, seed, |_| 0.0).unwrap())
             .collect();
         let used: std::collections::BTreeSet<_> = picks.iter().collect();
-        assert_eq!(used.len(), 4, "each of the homes is somebody's");
+        assert_eq!(used.len(), 4, "each home is picked by some front");
         for node in used {
-            assert!(picks.iter().filter(|&p| p == node).count() > 25, "and none is nearly left out");
+            assert!(picks.iter().filter(|&p| p == node).count() > 25, "no home is picked rarely");
         }
         let homes = RendezvousOrder::new(9, 4, all.iter().copied());
         let first = homes.pick(1, 1, |_| 0.0).unwrap();
