--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -1,6 +1,6 @@
-//! The operators' socket: each connection carries one line, gets one line back (the figures run on to a line `eof`)
-//! and ends. It decides nothing: health and the figures are read where they are published, and cordons go to the
-//! broker by queue, which answers once they are in force.
+//! The operators' socket: each connection carries one call in a line, gets one line back (metrics extend to a
+//! line `eof`), and ends. Nothing is decided here: health and metrics are read where they are published, and
+//! cordons are queued to the broker, which replies once they are in force.
 
 use crate::broker::{Figures, Operator};
 use crate::interface::NodeId;
@@ -19,45 +19,48 @@
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::{sleep_until, timeout_at};
 
-/// The longest line (bytes).
-pub const LINE: usize = 256;
-/// A caller has so long for its line, and callers that say nothing are closed then (seconds).
-const SPEAK: f64 = 5.0;
-/// Callers at once; beyond, the one that came first gives way, so that those who say nothing keep nobody out.
-const CALLERS: usize = 16;
-/// The answer is to be taken within so long (seconds).
-const TAKE: f64 = 1.0;
-/// After the answer, what the caller still sends is read for so long, up to so many bytes, so that closing does
-/// not reset the connection before the answer is read (seconds, bytes).
-const PARTING: (f64, usize) = (0.2, 4096);
-/// After a failed accept the next is tried this much later (seconds).
-const ACCEPT_PAUSE: f64 = 0.01;
-/// The program's file is read in pieces of this size (bytes).
-const PIECE: usize = 65_536;
-/// The file of the cordons is looked at this often, for what the other process of the front was told (seconds).
-const LOOK: f64 = 0.25;
-/// A call waits so long at most for what the file says: a cordon is to be in force 1 s after its call, whatever the disk does
+/// Longest line of a call (bytes).
+pub const MAX_LINE_BYTES: usize = 256;
+/// Time within which a caller must send its line (seconds).
+const CALL_TIMEOUT: f64 = 5.0;
+/// Limit of callers at once. Beyond it the oldest is evicted, so that silent callers do not keep others out.
+const MAX_CALLERS: usize = 16;
+/// Time within which a caller must accept the reply (seconds).
+const REPLY_TIMEOUT: f64 = 1.0;
+/// Time for which further input is discarded after the reply, so that closing does not reset the connection
+/// before the reply is read (seconds).
+const LINGER_WINDOW: f64 = 0.2;
+/// Limit of the input that is discarded (bytes).
+const LINGER_DISCARD_BYTES: usize = 4096;
+/// Delay after a failed accept (seconds).
+const ACCEPT_RETRY_DELAY: f64 = 0.01;
+/// The program's file is read in chunks of this size (bytes).
+const DIGEST_CHUNK_BYTES: usize = 65_536;
+/// Interval of checks whether the other process of the front has changed the state file of the cordons
 /// (seconds).
-const LOOK_PATIENCE: f64 = 0.25;
+const STATE_POLL_INTERVAL: f64 = 0.25;
+/// Limit of a call's wait for the state file (seconds): a cordon must be in force 1 s after its call, however
+/// slow the disk is.
+const STATE_READ_TIMEOUT: f64 = 0.25;
 
-/// What an operator asks.
+/// An operator's call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Call {
-    /// Does this process take clients?
+    /// Whether this process takes clients.
     Health,
-    /// The figures.
+    /// The metrics.
     Counters,
-    /// The figures of what was served late.
+    /// The metrics of requests that were served late.
     Slow,
-    /// Which program and settings does it run?
+    /// The program and the settings that this process runs.
     Version,
-    /// Nothing more to this cache node until it is uncordoned.
+    /// Send no more requests to this cache node until it is uncordoned.
     Cordon(NodeId),
-    /// Put this cache node back.
+    /// Use this cache node again.
     Uncordon(NodeId),
 }
 
-/// Reads one line, without its end. The error is the reply's reason.
+/// Parses a line without its terminator. The error is the reason in the reply.
 pub fn parse(line: &[u8]) -> Result<Call, String> {
     let text = std::str::from_utf8(line).map_err(|_| "the line is not text".to_owned())?;
     let words: Vec<&str> = text.split_ascii_whitespace().take(3).collect();
@@ -67,8 +70,8 @@
         ["counters"] => Ok(Call::Counters),
         ["slow"] => Ok(Call::Slow),
         ["version"] => Ok(Call::Version),
-        ["cordon", id] => Ok(Call::Cordon(node(id)?)),
-        ["uncordon", id] => Ok(Call::Uncordon(node(id)?)),
+        ["cordon", id] => Ok(Call::Cordon(parse_node_id(id)?)),
+        ["uncordon", id] => Ok(Call::Uncordon(parse_node_id(id)?)),
         [word @ ("cordon" | "uncordon")] => Err(format!("'{word}' needs a node id")),
         [] => Err(format!("the line is empty; {CALLS}")),
         ["health" | "counters" | "slow" | "version" | "cordon" | "uncordon", ..] => {
@@ -78,36 +81,36 @@
     }
 }
 
-/// A node's id, or why the word is none.
-fn node(word: &str) -> Result<NodeId, String> {
+/// Parses a node's id. The error is the reason in the reply.
+fn parse_node_id(word: &str) -> Result<NodeId, String> {
     node_id(word).ok_or_else(|| format!("'{word}' is no node id ('s-' and 8 hexadecimal digits)"))
 }
 
-/// What the socket reads from and hands on to.
+/// What the calls of operators read and change.
 pub struct AdminContext {
     /// Whether this process takes clients.
     pub ready: Rc<Cell<bool>>,
-    /// The figures.
+    /// The metrics.
     pub figures: Rc<Figures>,
-    /// To the broker.
+    /// The queue to the broker.
     pub operators: UnboundedSender<Operator>,
-    /// The file of the cordons.
+    /// The state file of the cordons.
     pub store: StateWorker,
     /// The digest of the settings in force.
     pub settings: Rc<Cell<u64>>,
-    /// That of the program's file, once somebody has asked.
+    /// The digest of the program's file, once it has been computed.
     pub build: Cell<Option<u64>>,
 }
 
-/// The digest of a program's file, by which operators tell builds apart. It is read piece by piece: the whole of it
-/// would be more than a front may have.
-pub fn build(program: &std::path::Path) -> std::io::Result<u64> {
-    let (mut file, mut piece) = (std::fs::File::open(program)?, vec![0; PIECE]);
+/// Computes the digest of a program's file, by which operators tell builds apart. The file is read in chunks,
+/// since the whole of it would exceed a front's memory limit.
+pub fn program_digest(program: &std::path::Path) -> std::io::Result<u64> {
+    let (mut file, mut chunk) = (std::fs::File::open(program)?, vec![0; DIGEST_CHUNK_BYTES]);
     let mut digest = xxhash_rust::xxh3::Xxh3Default::new();
     loop {
-        match std::io::Read::read(&mut file, &mut piece) {
+        match std::io::Read::read(&mut file, &mut chunk) {
             Ok(0) => return Ok(digest.digest()),
-            Ok(n) => digest.update(&piece[..n]),
+            Ok(n) => digest.update(&chunk[..n]),
             Err(e) if e.kind() == std::io::ErrorKind::Interrupted => {}
             Err(e) => return Err(e),
         }
@@ -115,11 +118,11 @@
 }
 
 impl AdminContext {
-    /// The whole reply to a line.
+    /// Executes the call in a line, and returns the whole reply.
     pub async fn reply(self: &Rc<Self>, line: &[u8]) -> String {
         let call = match parse(line) {
             Ok(call) => call,
-            Err(why) => return format!("fail {why}\n"),
+            Err(reason) => return format!("fail {reason}\n"),
         };
         #[cfg(feature = "planted")]
         match crate::planted::socket() {
@@ -139,16 +142,18 @@
             Call::Cordon(node) => OperatorOverride::Cordon(node),
             Call::Uncordon(node) => OperatorOverride::Uncordon(node),
         };
-        // What the other process of the front was told counts first, so that this one does not write back less.
-        let look = spawn_local(self.clone().look());
-        let _ = timeout_at(clock::instant(clock::now() + LOOK_PATIENCE), look).await;
+        // The changes of the front's other process are applied first, so that this one does not overwrite
+        // them.
+        let restore = spawn_local(self.clone().restore_changed_state());
+        let _ = timeout_at(clock::instant(clock::now() + STATE_READ_TIMEOUT), restore).await;
         let (reply, answer) = oneshot::channel();
-        // A call that the core can no longer take is dropped with its reply, which then says so.
+        // If the broker has ended, the call is dropped with its reply channel, which `answer` reports.
         let _ = self.operators.send(Operator::Call { hand, reply });
-        let (said, kept, number) = match answer.await {
+        let (message, kept, number) = match answer.await {
             Ok(Ok(done)) => done,
-            Ok(Err(why)) => return format!("fail {why}\n"),
-            // The core has ended, and this process sends nothing more: the call is for the one that follows it.
+            Ok(Err(reason)) => return format!("fail {reason}\n"),
+            // The broker has ended and this process sends no more requests: the call is stored for its
+            // successor.
             Err(_) => {
                 return match self.store.amend(hand, clock::now()).await {
                     Ok(()) => format!(
@@ -160,17 +165,18 @@
             }
         };
         if let Err(e) = self.store.keep(number, kept).await {
-            log!("cordons: cannot be kept: {e}");
-            return format!("fail {said} in this process, but not kept for the next: {e}\n");
+            log!("cordons: cannot write the state file: {e}");
+            return format!("fail {message} in this process, but not kept for the next: {e}\n");
         }
-        format!("ok {said}\n")
+        format!("ok {message}\n")
     }
 
-    /// What this process runs. The file is that of the process, whatever lies at its path by now; it is read once, on a
-    /// thread of its own.
+    /// Returns the reply that tells which program and settings this process runs. The digest is that of the
+    /// running program, even if its path holds another file by now; it is computed once, on a separate
+    /// thread.
     async fn version(&self) -> String {
         if self.build.get().is_none() {
-            let read = tokio::task::spawn_blocking(|| build("/proc/self/exe".as_ref())).await;
+            let read = tokio::task::spawn_blocking(|| program_digest("/proc/self/exe".as_ref())).await;
             match read.map_err(std::io::Error::other).and_then(|read| read) {
                 Ok(digest) => self.build.set(Some(digest)),
                 Err(e) => return format!("fail the program's file cannot be read: {e}\n"),
@@ -180,18 +186,18 @@
         format!("ok build={build:016x} settings={settings:016x} homes={HOMES} pid={}\n", std::process::id())
     }
 
-    /// Hands the broker what the file says, if another process changed it.
-    async fn look(self: Rc<Self>) {
+    /// Reads the state file if another process has changed it, and passes its contents to the broker.
+    async fn restore_changed_state(self: Rc<Self>) {
         if let Some(kept) = self.store.look().await {
             let _ = self.operators.send(Operator::Kept(kept));
         }
     }
 
-    /// Looks at the file of the cordons again and again until the program ends.
-    async fn watch_file(self: Rc<Self>) {
+    /// Polls the state file until the program ends.
+    async fn poll_state_file(self: Rc<Self>) {
         loop {
-            sleep_until(clock::instant(clock::now() + LOOK)).await;
-            self.clone().look().await;
+            sleep_until(clock::instant(clock::now() + STATE_POLL_INTERVAL)).await;
+            self.clone().restore_changed_state().await;
         }
     }
 }
@@ -199,65 +205,65 @@
 /// Serves operators until the program ends.
 pub async fn serve(listener: TcpListener, context: Rc<AdminContext>) {
     let mut callers: VecDeque<JoinHandle<()>> = VecDeque::new();
-    spawn_local(measured(TaskKind::Operators, context.clone().watch_file()));
+    spawn_local(measured(TaskKind::Operators, context.clone().poll_state_file()));
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
                 callers.retain(|caller| !caller.is_finished());
-                if callers.len() >= CALLERS
-                    && let Some(first) = callers.pop_front()
+                if callers.len() >= MAX_CALLERS
+                    && let Some(oldest) = callers.pop_front()
                 {
-                    first.abort();
+                    oldest.abort();
                 }
-                callers.push_back(spawn_local(measured(TaskKind::Operators, call(stream, context.clone()))));
+                callers.push_back(spawn_local(measured(TaskKind::Operators, serve_caller(stream, context.clone()))));
             }
             Err(e) => {
                 log!("cannot accept an operator: {e}");
-                sleep_until(clock::instant(clock::now() + ACCEPT_PAUSE)).await;
+                sleep_until(clock::instant(clock::now() + ACCEPT_RETRY_DELAY)).await;
             }
         }
     }
 }
 
-/// What a caller said.
-enum Heard {
-    /// A line of so many bytes.
+/// The result of reading a caller's line.
+enum ReadLine {
+    /// A line of this length (bytes).
     Line(usize),
-    /// More than a line may have, and no end.
+    /// No terminator within the longest line.
     TooLong,
-    /// Nothing before it closed.
-    Nothing,
+    /// The caller closed without sending anything.
+    Empty,
 }
 
-/// One caller: its line, the reply, the end.
-async fn call(mut stream: TcpStream, context: Rc<AdminContext>) {
-    let mut line = [0u8; LINE];
-    let heard = timeout_at(clock::instant(clock::now() + SPEAK), async {
+/// Serves one caller: reads its line, writes the reply, and closes the connection.
+async fn serve_caller(mut stream: TcpStream, context: Rc<AdminContext>) {
+    let mut line = [0u8; MAX_LINE_BYTES];
+    let read = timeout_at(clock::instant(clock::now() + CALL_TIMEOUT), async {
         let mut len = 0;
         loop {
             let n = stream.read(&mut line[len..]).await?;
             len += n;
             if let Some(end) = line[..len].iter().position(|&b| b == b'\n') {
-                return std::io::Result::Ok(Heard::Line(end));
+                return std::io::Result::Ok(ReadLine::Line(end));
             }
-            // A last line without its end counts; one that does not fit does not.
+            // A last line without its terminator is accepted, one that does not fit is not.
             match (n, len) {
-                (0, 0) => return Ok(Heard::Nothing),
-                (0, _) => return Ok(Heard::Line(len)),
-                (_, LINE) => return Ok(Heard::TooLong),
+                (0, 0) => return Ok(ReadLine::Empty),
+                (0, _) => return Ok(ReadLine::Line(len)),
+                (_, MAX_LINE_BYTES) => return Ok(ReadLine::TooLong),
                 _ => {}
             }
         }
     })
     .await;
-    let reply = match heard {
-        Ok(Ok(Heard::Line(end))) => context.reply(line[..end].trim_ascii()).await,
-        Ok(Ok(Heard::TooLong)) => format!("fail the line is longer than {LINE} bytes\n"),
+    let reply = match read {
+        Ok(Ok(ReadLine::Line(end))) => context.reply(line[..end].trim_ascii()).await,
+        Ok(Ok(ReadLine::TooLong)) => format!("fail the line is longer than {MAX_LINE_BYTES} bytes\n"),
         _ => return,
     };
-    let _ = timeout_at(clock::instant(clock::now() + TAKE), stream.write_all(reply.as_bytes())).await;
-    let by = clock::instant(clock::now() + PARTING.0);
-    let _ = timeout_at(by, super::shut_and_discard(&stream, PARTING.1)).await;
+    let _ = timeout_at(clock::instant(clock::now() + REPLY_TIMEOUT), stream.write_all(reply.as_bytes())).await;
+    let by = clock::instant(clock::now() + LINGER_WINDOW);
+    let _ = timeout_at(by, super::shut_and_discard(&stream, LINGER_DISCARD_BYTES)).await;
 }
 
 #[cfg(test)]
@@ -265,7 +271,7 @@
     use super::*;
 
     #[test]
-    fn reads_the_calls_and_names_what_is_wrong() {
+    fn calls_are_parsed_and_invalid_ones_get_a_reason() {
         assert_eq!(parse(b"health"), Ok(Call::Health));
         assert_eq!(parse(b"counters"), Ok(Call::Counters));
         assert_eq!(parse(b"version"), Ok(Call::Version));
--- a/src/net/client_socket.rs
+++ b/src/net/client_socket.rs
@@ -1,20 +1,23 @@
-//! A client's socket, shared by the task that serves it and the table of connections, which asks it whether it may close.
+//! A client's socket, shared by the task that serves it and the table of connections, which checks whether it
+//! may close.
 
 use super::send_queue::{Delivery, SendQueue};
 use std::io::{self, IoSlice};
 use std::ops::Deref;
 use tokio::net::TcpStream;
 
-/// Tells whether a client has what it was answered.
+/// Tells how far the written answers have reached the client.
 pub trait SendState {
-    /// What became of all that was written? Asks the system. A client without room cannot see an end behind that.
+    /// Returns what became of all that was written, after asking the system. A client without room for it
+    /// cannot see an end of stream behind it.
     fn delivery(&self) -> Delivery;
 
-    /// When the system last sent something, as the last question for it told (Unix seconds); `None` if it was not asked.
+    /// Returns when the system last sent something, as of the last call of [`SendState::delivery`] that asked
+    /// it (Unix seconds); `None` if it was not asked.
     fn sent_at(&self) -> Option<f64>;
 
-    /// Is something known to be unsent, or without room at the client? Asks the system only where much was written or that
-    /// was found before.
+    /// Returns whether bytes are known to be unsent or without room at the client. Asks the system only if
+    /// much was written, or if bytes were found unsent before.
     fn is_known_unsent(&self) -> bool;
 }
 
@@ -26,12 +29,12 @@
 }
 
 impl ClientSocket {
-    /// The socket of a connection to which nothing was written yet.
+    /// Wraps a connection to which nothing was written yet.
     pub fn new(stream: TcpStream) -> Self {
         ClientSocket { stream, send_queue: SendQueue::default() }
     }
 
-    /// Writes what the system takes without waiting.
+    /// Writes as much as the system accepts without blocking.
     pub fn try_write_vectored(&self, pieces: &[IoSlice<'_>]) -> io::Result<usize> {
         self.send_queue.before_write(&self.stream);
         let written = self.stream.try_write_vectored(pieces)?;
@@ -39,7 +42,7 @@
         Ok(written)
     }
 
-    /// Waits until what was found to be undelivered may have been delivered.
+    /// Waits until bytes that were found undelivered may have been delivered.
     pub async fn delivery_changed(&self) -> io::Result<()> {
         self.send_queue.changed(&self.stream).await
     }
--- a/src/net/clients.rs
+++ b/src/net/clients.rs
@@ -1,4 +1,4 @@
-//! RESP clients: one task a connection, which reads requests, hands them to the broker and writes answers.
+//! RESP clients: one task per connection, which reads requests, passes them to the broker and writes answers.
 
 mod connection;
 mod request;
@@ -19,39 +19,39 @@
 use tokio::sync::mpsc::Sender;
 
 /// What all client connections share.
-pub struct Front {
-    /// To the broker.
-    pub asks: Sender<Input>,
-    /// The classes by name.
+pub struct ClientContext {
+    /// The queue to the broker.
+    pub broker_inputs: Sender<Input>,
+    /// The request classes by name.
     pub classes: Rc<Classes>,
-    /// The teams, if any are configured; requests then name theirs in `org`.
+    /// The teams, if any are configured; requests then name their team in the field `org`.
     pub contracts: Rc<Contracts>,
-    /// Whether health checks are answered with yes.
+    /// Whether health checks are answered with `yes`.
     pub ready: Rc<Cell<bool>>,
-    /// Most connections.
-    pub connections: usize,
-    /// Numbers for connections, shared by all fronts.
+    /// Connection limit.
+    pub max_connections: usize,
+    /// The number given to the last connection, shared by all fronts.
     pub numbers: Rc<Cell<u64>>,
-    /// What holds connections, requests and answers.
+    /// The memory accounts for connections, requests and answers.
     pub memory: Ledger,
-    /// What a refusal of this front's own says (seconds).
-    pub wait: f64,
-    /// What operators read: the answers that this front gives of its own are counted here.
+    /// The pushback time in refusals that this front issues by itself (seconds).
+    pub pushback: f64,
+    /// The operators' metrics, which count the answers that this front gives by itself.
     pub figures: Rc<Figures>,
 }
 
-impl Front {
-    /// Takes memory for a request and for its body, which it has from then on.
-    fn hold(&self, mut ask: ClientRequest, body: &[u8]) -> Result<ClientRequest, Refused> {
+impl ClientContext {
+    /// Reserves memory for a request and its body, and stores the body in the request.
+    fn reserve_memory(&self, mut ask: ClientRequest, body: &[u8]) -> Result<ClientRequest, Refused> {
         ask.hold(&self.memory, self.classes.never_kept(ask.class), body.len())?;
         ask.body = body.to_vec();
         Ok(ask)
     }
 }
 
-/// Accepts clients until the program ends, or the front takes no more.
-pub async fn accept(listener: TcpListener, front: Rc<Front>, state: Rc<ListenerState>) {
-    let (connections, memory) = (front.connections, front.memory.clone());
-    let serve = move |socket, slot, grant| ClientConnection::new(front.clone(), socket, slot, grant).serve();
-    super::accept(listener, state, connections, memory, serve).await;
+/// Accepts clients until the program ends, or the front closes its listener.
+pub async fn accept(listener: TcpListener, context: Rc<ClientContext>, state: Rc<ListenerState>) {
+    let (max_connections, memory) = (context.max_connections, context.memory.clone());
+    let serve = move |socket, slot, grant| ClientConnection::new(context.clone(), socket, slot, grant).serve();
+    super::accept(listener, state, max_connections, memory, serve).await;
 }
--- a/src/net/clients/connection.rs
+++ b/src/net/clients/connection.rs
@@ -1,16 +1,16 @@
 //! The task of one client connection: what it waits for, what it reads and writes, and how it ends.
 
-use super::Front;
+use super::ClientContext;
 use super::session::Session;
-use super::timers::{IDLE, STALLED, Timers, WHOLE, Wait};
+use super::timers::{FRAME_TIMEOUT, IDLE_TIMEOUT, STALL_TIMEOUT, Timers, Wait};
 use crate::broker::Answer;
 use crate::clock;
 use crate::memory::{AccountOwner, Grant, Purpose};
 use crate::net::closing::has_input;
 use crate::net::resp::FrameError;
 use crate::net::{
-    Buffer, ClientSocket, ConnectionSlot, DELIVERY_CHECK_INTERVAL, Delivery, INPUT, PEER_CHECK_INTERVAL,
-    SendState, Unreadable, linger, peer_has_closed, readable_within_window,
+    Buffer, ClientSocket, ConnectionSlot, DELIVERY_CHECK_INTERVAL, Delivery, PEER_CHECK_INTERVAL,
+    ProtocolError, READ_CHUNK_BYTES, SendState, linger, peer_has_closed, readable_within_window,
 };
 use std::io;
 use std::rc::Rc;
@@ -18,56 +18,56 @@
 use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
 use tokio::time::sleep_until;
 
-/// With so many bytes of answers unsent, a connection is not read from.
-const UNSENT_MOST: usize = 512 * 1024;
-/// A client whose frame may not grow is read from again after this (seconds).
-const RELIEF: f64 = 0.005;
-/// Once the front ends, a connection on which requests still come is read from for so long (seconds). What crosses a close by
-/// up to 0.05 s is sent again.
-const LAST_READS: f64 = 0.01;
+/// A connection with more bytes of answers to be written is not read from.
+const MAX_UNSENT_BYTES: usize = 512 * 1024;
+/// Delay before a connection is read from again whose frame got no memory to grow (seconds).
+const MEMORY_RETRY_DELAY: f64 = 0.005;
+/// Once the front ends, a connection on which requests still come is read from for this long (seconds).
+/// Clients retry a request that crosses the close by up to 0.05 s.
+const FINAL_READ_TIME: f64 = 0.01;
 
-/// How a connection ends in order.
-enum End {
-    /// It is idle, and closed by this side.
-    ByFront,
-    /// The client has closed it, or takes nothing of what it is sent.
-    ByClient,
+/// Which side ends a connection in order.
+enum ClosedBy {
+    /// The connection is idle, and this side closes it.
+    Front,
+    /// The client has closed the connection, or reads none of its answers.
+    Client,
 }
 
-/// Why a connection is closed.
-enum Ended {
-    /// What it said cannot be read.
-    Unreadable(FrameError),
-    /// The connection itself.
+/// Why a connection is closed on an error.
+enum ConnectionError {
+    /// The client's input violates the protocol.
+    Protocol(FrameError),
+    /// Reading or writing failed, or the broker has ended.
     Io(io::Error),
 }
 
-impl From<FrameError> for Ended {
-    fn from(broken: FrameError) -> Self {
-        Ended::Unreadable(broken)
+impl From<FrameError> for ConnectionError {
+    fn from(e: FrameError) -> Self {
+        ConnectionError::Protocol(e)
     }
 }
 
-impl From<io::Error> for Ended {
+impl From<io::Error> for ConnectionError {
     fn from(e: io::Error) -> Self {
-        Ended::Io(e)
+        ConnectionError::Io(e)
     }
 }
 
-/// A client connection.
+/// The task of one client connection.
 pub(super) struct ClientConnection {
     socket: Rc<ClientSocket>,
     slot: ConnectionSlot,
     session: Session,
     answers: UnboundedReceiver<(u64, Answer)>,
     grant: Grant,
-    /// Once the front ends: nothing more is read after this (Unix seconds).
+    /// Nothing is read after this time, which is finite once the front ends (Unix seconds).
     reads_until: f64,
 }
 
 impl ClientConnection {
     pub(super) fn new(
-        front: Rc<Front>,
+        context: Rc<ClientContext>,
         socket: Rc<ClientSocket>,
         slot: ConnectionSlot,
         grant: Grant,
@@ -76,7 +76,7 @@
         ClientConnection {
             socket,
             slot,
-            session: Session::new(front, reply),
+            session: Session::new(context, reply),
             answers,
             grant,
             reads_until: f64::INFINITY,
@@ -85,231 +85,246 @@
 
     pub(super) async fn serve(mut self) -> io::Result<()> {
         self.socket.set_nodelay(true)?;
-        let ended = self.exchange().await;
-        if let Err(Ended::Unreadable(broken)) = &ended {
-            self.session.fail_open(broken.tag);
+        let result = self.exchange().await;
+        if let Err(ConnectionError::Protocol(e)) = &result {
+            self.session.fail_open(e.tag);
         }
-        // A connection that ends takes its requests with it, before anything is waited for: no answer is owed where none
-        // can be given, and none is sent for what was answered here.
+        // The open requests are cancelled before anything is waited for: no attempt is to be made for a
+        // request that can no longer be answered, or that was answered as failed above.
         self.cancel_open_requests().await;
-        match ended {
-            Ok(End::ByFront) => {
+        match result {
+            Ok(ClosedBy::Front) => {
                 self.close().await;
                 Ok(())
             }
-            Ok(End::ByClient) => Ok(()),
-            Err(Ended::Unreadable(broken)) => {
+            Ok(ClosedBy::Client) => Ok(()),
+            Err(ConnectionError::Protocol(e)) => {
                 self.close().await;
-                Err(io::Error::new(io::ErrorKind::InvalidData, broken.why.0))
+                Err(io::Error::new(io::ErrorKind::InvalidData, e.why.0))
             }
-            Err(Ended::Io(e)) => match e.kind() {
+            Err(ConnectionError::Io(e)) => match e.kind() {
                 io::ErrorKind::ConnectionReset | io::ErrorKind::BrokenPipe => Ok(()),
                 _ => Err(e),
             },
         }
     }
 
-    /// Nobody waits for what is open.
+    /// Cancels the open requests, and tells the broker.
     async fn cancel_open_requests(&mut self) {
         for abort in self.session.cancel_open() {
-            let _ = self.session.front.asks.send(abort).await;
+            let _ = self.session.context.broker_inputs.send(abort).await;
         }
     }
 
-    /// Writes the last answers and ends the stream in order. A request among what still comes is not taken, and its client
-    /// sends it again elsewhere.
+    /// Writes the last answers and closes the connection with a lingering close. Requests that still come are
+    /// discarded; the client retries them on another connection.
     async fn close(&mut self) {
-        // Its place in memory is somebody else's from now on; what is still unsent keeps its own.
+        // The connection's memory is free for another one now; unsent answers have memory of their own.
         self.grant.shrink(usize::MAX);
         linger(&self.socket, &self.slot, &mut self.session.output).await;
     }
 
     /// Reads requests and writes answers until the connection ends.
-    async fn exchange(&mut self) -> Result<End, Ended> {
+    async fn exchange(&mut self) -> Result<ClosedBy, ConnectionError> {
         let socket = self.socket.clone();
-        let bodies = self.session.front.memory.empty(AccountOwner::of(Purpose::Bodies));
-        let mut input = Buffer::new(INPUT, bodies);
+        let bodies = self.session.context.memory.empty(AccountOwner::of(Purpose::Bodies));
+        let mut input = Buffer::new(READ_CHUNK_BYTES, bodies);
         let mut timers = Timers::new(clock::now());
         loop {
             self.write_answers(&mut timers)?;
-            if self.reads_until.is_infinite() && self.slot.closes_behind_answers() {
-                self.reads_until = clock::now() + LAST_READS;
+            if self.reads_until.is_infinite() && self.slot.closes_after_send() {
+                self.reads_until = clock::now() + FINAL_READ_TIME;
             }
-            let half_a_frame = !input.is_empty() || input.skipping() > 0;
-            let wait = self.plan(half_a_frame, &mut timers);
+            let mid_frame = !input.is_empty() || input.skipping() > 0;
+            let wait = self.plan_wait(mid_frame, &mut timers);
             let throttled_until = wait.throttled_until.unwrap_or(wait.now);
             let next_peer_check = wait.now + PEER_CHECK_INTERVAL;
-            let until = wait.until.unwrap_or(timers.idle_at);
-            let end = tokio::select! {
+            let next_timer = wait.next_timer.unwrap_or(timers.idle_at);
+            let closed_by = tokio::select! {
                 biased;
                 Some((tag, answer)) = self.answers.recv() => {
-                    timers.active();
+                    timers.restart_idle();
                     self.session.answer(tag, answer);
                     None
                 }
                 ready = socket.ready(wait.interest()),
-                    if wait.writes || wait.throttled_until.is_none() && !self.reads_ended(wait.now) =>
+                    if wait.has_unwritten || wait.throttled_until.is_none() && !self.reads_ended(wait.now) =>
                 {
-                    self.ready(ready?, &wait, &mut input, &mut timers).await?
+                    self.on_ready(ready?, &wait, &mut input, &mut timers).await?
                 }
-                changed = socket.delivery_changed(), if wait.untaken => {
+                changed = socket.delivery_changed(), if wait.send_blocked => {
                     changed?;
                     None
                 }
                 () = sleep_until(clock::instant(throttled_until)), if wait.throttled_until.is_some() => {
-                    self.take_frames(&mut input).await?;
-                    timers.whole_by = (!input.is_empty()).then_some(clock::now() + WHOLE);
+                    self.process_frames(&mut input).await?;
+                    timers.frame_by = (!input.is_empty()).then_some(clock::now() + FRAME_TIMEOUT);
                     None
                 }
-                // One that is not read from is looked at, for whether it is still there.
+                // While nothing is read, no readiness event reports that the client has left.
                 () = sleep_until(clock::instant(next_peer_check)),
                     if wait.reads_paused() && !self.session.open.is_empty() =>
                 {
-                    peer_has_closed(&socket).await?.then_some(End::ByClient)
+                    peer_has_closed(&socket).await?.then_some(ClosedBy::Client)
                 }
                 () = self.slot.changed(), if wait.idle => None,
-                () = sleep_until(clock::instant(until)), if wait.until.is_some() => {
-                    self.time_out(&wait, &mut timers).await?
+                () = sleep_until(clock::instant(next_timer)), if wait.next_timer.is_some() => {
+                    self.on_timer(&wait, &mut timers).await?
                 }
             };
-            if let Some(end) = end {
-                return Ok(end);
+            if let Some(closed_by) = closed_by {
+                return Ok(closed_by);
             }
         }
     }
 
-    /// Is nothing more read? A client that never pauses would keep its connection open for as long as it is read from.
+    /// Returns whether nothing more is read. Without this limit, a client that never pauses would keep its
+    /// connection open.
     fn reads_ended(&self, now: f64) -> bool {
         now >= self.reads_until
     }
 
-    /// May the end come right behind the last answers? Only where nothing has come meanwhile, while it is read.
-    async fn may_end_behind_answers(&self, now: f64) -> bool {
+    /// Returns whether the connection may close although its last answers are not acknowledged: not if input
+    /// has come in the meantime, unless nothing more is read.
+    async fn may_close_after_send(&self, now: f64) -> bool {
         self.reads_ended(now) || !has_input(&self.socket) || !readable_within_window(&self.socket).await
     }
 
-    /// Writes what the socket takes of the answers that are there.
+    /// Writes as many of the available answers as the socket accepts.
     fn write_answers(&mut self, timers: &mut Timers) -> io::Result<()> {
         while let Ok((tag, answer)) = self.answers.try_recv() {
             self.session.answer(tag, answer);
         }
         let output = &mut self.session.output;
         if output.write_to(&self.socket)? > 0 || output.is_empty() {
-            timers.stalled_at = clock::now() + STALLED;
+            timers.stalled_at = clock::now() + STALL_TIMEOUT;
         }
         Ok(())
     }
 
-    /// What is waited for next, by what is open and unsent; keeps the connection's place in the table true.
-    fn plan(&mut self, half_a_frame: bool, timers: &mut Timers) -> Wait {
+    /// Determines what to wait for next, from the open requests and unsent answers, and updates the
+    /// connection's slot.
+    fn plan_wait(&mut self, mid_frame: bool, timers: &mut Timers) -> Wait {
         let now = clock::now();
         let output = &self.session.output;
         let unsent = output.len();
-        // One that leaves much unread is not read from, and sooner while all do.
-        let may_read = self.session.front.memory.may_read(unsent);
-        let held_back = unsent > UNSENT_MOST || output.crowded() || !may_read || self.reads_ended(now);
-        let writes = !output.is_empty();
-        // What is still unread so long after it was due is of no use to its client any more; where memory is scarce,
-        // it has no such time.
-        let slack = if may_read { STALLED } else { 0.0 };
+        // A client with much unread output is not read from; the limit is lower while memory is scarce.
+        let may_read = self.session.context.memory.may_read(unsent);
+        let backpressure = unsent > MAX_UNSENT_BYTES || output.crowded() || !may_read || self.reads_ended(now);
+        let has_unwritten = !output.is_empty();
+        // An answer that is still unread this long after it was due is useless to its client. While memory is
+        // scarce, there is no such tolerance.
+        let slack = if may_read { STALL_TIMEOUT } else { 0.0 };
         let stalled_by = output.due().map_or(timers.stalled_at, |due| timers.stalled_at.min(due + slack));
-        let nothing_owed = !writes && self.session.open.is_empty();
-        let untaken = nothing_owed && self.slot.is_unsent();
-        let idle = nothing_owed && !untaken;
-        let was_untaken = timers.taken_by.is_some();
-        timers.taken_by = untaken.then_some(timers.taken_by.unwrap_or(timers.idle_at + STALLED));
+        let nothing_pending = !has_unwritten && self.session.open.is_empty();
+        let send_blocked = nothing_pending && self.slot.is_send_blocked();
+        let idle = nothing_pending && !send_blocked;
+        let was_send_blocked = timers.unblocked_by.is_some();
+        timers.unblocked_by =
+            send_blocked.then_some(timers.unblocked_by.unwrap_or(timers.idle_at + STALL_TIMEOUT));
         match idle {
-            true => self.slot.mark_idle(now, self.session.spoken, half_a_frame),
+            true => self.slot.mark_idle(now, self.session.has_sent_command, mid_frame),
             false => self.slot.mark_active(),
         }
-        if idle && was_untaken {
-            timers.idle_at = now + IDLE;
+        if idle && was_send_blocked {
+            timers.idle_at = now + IDLE_TIMEOUT;
         }
         if idle {
-            timers.idle_at = timers.idle_at.max(self.slot.idle_since() + IDLE);
+            timers.idle_at = timers.idle_at.max(self.slot.idle_since() + IDLE_TIMEOUT);
         }
         let throttled_until = Some(self.session.reads_at(now)).filter(|&at| at > now);
-        if held_back || throttled_until.is_some() {
-            // What is not read here cannot become whole.
-            timers.whole_by = timers.whole_by.map(|_| now + WHOLE);
+        if backpressure || throttled_until.is_some() {
+            // The frame cannot be completed while nothing is read.
+            timers.frame_by = timers.frame_by.map(|_| now + FRAME_TIMEOUT);
         }
-        // Guards the share of clients' connections against those that never say anything whole.
-        let silent = (!self.session.spoken && nothing_owed && !untaken)
-            .then_some(timers.speak_by.max(timers.acknowledged_by));
-        let stalled = writes.then_some(stalled_by);
+        // Connections on which no usable command comes must not use up the connection limit.
+        let silent = (!self.session.has_sent_command && nothing_pending && !send_blocked)
+            .then_some(timers.first_command_by.max(timers.acknowledged_by));
+        let stalled = has_unwritten.then_some(stalled_by);
         let idle_at = idle.then_some(timers.idle_at.max(timers.acknowledged_by));
-        // Half a request is waited for, where there is no other in need of the place.
-        let waits = half_a_frame && self.slot.is_closing_all();
-        let waits_until = if waits { self.reads_until } else { now };
-        let closes_at = self.slot.closes_at().map(|at| at.max(waits_until)).filter(|at| at.is_finite());
-        // What one that has spoken has sent ahead is read before it closes.
-        let heard_by = throttled_until.filter(|_| self.session.spoken).unwrap_or(now);
-        let acknowledged_by = if self.slot.closes_behind_answers() { now } else { timers.acknowledged_by };
-        let closes_at = closes_at.map(|at| at.max(heard_by).max(acknowledged_by));
-        let all = [silent, timers.whole_by, stalled, timers.taken_by, idle_at, closes_at];
-        let until = all.into_iter().flatten().reduce(f64::min);
-        Wait { now, writes, untaken, idle, held_back, throttled_until, stalled_by, until }
+        // An incomplete request is waited for where no new connection needs the slot.
+        let waits_for_frame = mid_frame && self.slot.is_closing_all();
+        let frame_until = if waits_for_frame { self.reads_until } else { now };
+        let closes_at = self.slot.closes_at().map(|at| at.max(frame_until)).filter(|at| at.is_finite());
+        // Frames that a client has sent ahead are processed before the close, if it has sent a usable
+        // command.
+        let processed_by = throttled_until.filter(|_| self.session.has_sent_command).unwrap_or(now);
+        let acknowledged_by = if self.slot.closes_after_send() { now } else { timers.acknowledged_by };
+        let closes_at = closes_at.map(|at| at.max(processed_by).max(acknowledged_by));
+        let all = [silent, timers.frame_by, stalled, timers.unblocked_by, idle_at, closes_at];
+        let next_timer = all.into_iter().flatten().reduce(f64::min);
+        Wait {
+            now,
+            has_unwritten,
+            send_blocked,
+            idle,
+            backpressure,
+            throttled_until,
+            stalled_by,
+            next_timer,
+        }
     }
 
-    /// The socket can be read from or written to, or its end has come.
-    async fn ready(
+    /// Handles readiness of the socket: reads from it, or notes that the client has closed it.
+    async fn on_ready(
         &mut self,
         ready: Ready,
         wait: &Wait,
         input: &mut Buffer,
         timers: &mut Timers,
-    ) -> Result<Option<End>, Ended> {
+    ) -> Result<Option<ClosedBy>, ConnectionError> {
         if ready.is_read_closed() {
             self.client_left(wait, input).await?;
-            return Ok(Some(End::ByClient));
+            return Ok(Some(ClosedBy::Client));
         }
         if !ready.is_readable() || wait.reads_paused() {
             return Ok(None);
         }
         match input.read_from(&self.socket) {
-            Ok(0) => return Ok(Some(End::ByClient)),
+            Ok(0) => return Ok(Some(ClosedBy::Client)),
             Ok(_) => {
-                timers.active();
+                timers.restart_idle();
                 self.slot.mark_active();
-                let whole = self.take_frames(input).await?;
-                let by = timers.whole_by.filter(|_| !whole).unwrap_or(clock::now() + WHOLE);
-                timers.whole_by = (!input.is_empty()).then_some(by);
+                let complete = self.process_frames(input).await?;
+                let by = timers.frame_by.filter(|_| !complete).unwrap_or(clock::now() + FRAME_TIMEOUT);
+                timers.frame_by = (!input.is_empty()).then_some(by);
             }
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
-            // Half a frame that may not grow is held up, and is to be whole in its time all the same.
+            // The frame got no memory to grow. It must still be complete in time.
             Err(e) if e.kind() == io::ErrorKind::OutOfMemory => {
-                sleep_until(clock::instant(clock::now() + RELIEF)).await;
+                sleep_until(clock::instant(clock::now() + MEMORY_RETRY_DELAY)).await;
             }
             Err(e) => return Err(e.into()),
         }
         Ok(None)
     }
 
-    /// The client has closed its side. That is heeded before what it said last, and behind whatever of that is not read:
-    /// nothing is sent for it any more. What needs no cache is still answered, as to one that closed its side only.
-    async fn client_left(&mut self, wait: &Wait, input: &mut Buffer) -> Result<(), Ended> {
+    /// Handles the client's end of stream. It takes effect before the last input is processed, and even if
+    /// that is not read: no further attempt is sent for this client's requests. Commands that need no cache
+    /// node are still answered, since the client may have closed only its write side.
+    async fn client_left(&mut self, wait: &Wait, input: &mut Buffer) -> Result<(), ConnectionError> {
         self.session.client_left = true;
         self.cancel_open_requests().await;
         if !wait.reads_paused() && input.read_from(&self.socket).is_ok_and(|n| n > 0) {
-            self.take_frames(input).await?;
+            self.process_frames(input).await?;
             self.session.output.write_to(&self.socket)?;
         }
         Ok(())
     }
 
-    /// A timer is due: is the connection to end?
-    async fn time_out(&self, wait: &Wait, timers: &mut Timers) -> Result<Option<End>, Ended> {
+    /// Handles a timer that has expired, and returns whether the connection ends.
+    async fn on_timer(&self, wait: &Wait, timers: &mut Timers) -> Result<Option<ClosedBy>, ConnectionError> {
         let now = clock::now();
-        if timers.whole_by.is_some_and(|by| now >= by) {
-            return Err(FrameError { why: Unreadable("half a frame and no more"), tag: None }.into());
+        if timers.frame_by.is_some_and(|by| now >= by) {
+            return Err(FrameError { why: ProtocolError("an incomplete frame"), tag: None }.into());
         }
-        let untaken = timers.taken_by.is_some_and(|by| now >= by);
-        if untaken || wait.writes && now >= wait.stalled_by {
-            return Ok(Some(End::ByClient));
+        let blocked = timers.unblocked_by.is_some_and(|by| now >= by);
+        if blocked || wait.has_unwritten && now >= wait.stalled_by {
+            return Ok(Some(ClosedBy::Client));
         }
         let delivery = self.socket.delivery();
-        if wait.idle && self.slot.closes_behind_answers() && !delivery.is_blocked() {
-            return Ok(self.may_end_behind_answers(now).await.then_some(End::ByFront));
+        if wait.idle && self.slot.closes_after_send() && !delivery.is_blocked() {
+            return Ok(self.may_close_after_send(now).await.then_some(ClosedBy::Front));
         }
         match delivery {
             Delivery::Delivered => {}
@@ -317,26 +332,27 @@
                 timers.acknowledged_by = now + DELIVERY_CHECK_INTERVAL.as_secs_f64();
                 return Ok(None);
             }
-            // Its client cannot see an end: it is waited for, as known to be unsent from now on.
+            // The client cannot see an end of stream. The connection is known to be blocked now, and waits
+            // for that to change.
             Delivery::Unsent | Delivery::Undelivered => return Ok(None),
         }
-        // What it was sent only just now, it has as long to read as any other.
+        // The grace period of an answer that was sent only just now has not passed.
         if self.slot.postpone_to_last_sent() {
             return Ok(None);
         }
-        // One that never said anything usable, and is not read from since it sent too much, is not listened to.
-        let ignored = !self.session.spoken && wait.reads_paused();
-        Ok((ignored || !readable_within_window(&self.socket).await).then_some(End::ByFront))
+        // Input does not keep a connection open on which nothing is read and no usable command ever came.
+        let ignored = !self.session.has_sent_command && wait.reads_paused();
+        Ok((ignored || !readable_within_window(&self.socket).await).then_some(ClosedBy::Front))
     }
 
-    /// Takes the whole frames off the buffer; was there one?
-    async fn take_frames(&mut self, input: &mut Buffer) -> Result<bool, Ended> {
+    /// Processes the complete frames of the buffer, and returns whether there was one.
+    async fn process_frames(&mut self, input: &mut Buffer) -> Result<bool, ConnectionError> {
         let mut any = false;
-        while let Some(heard) = self.session.take(clock::now(), input)? {
+        while let Some(message) = self.session.process_frame(clock::now(), input)? {
             any = true;
-            if let Some(heard) = heard {
+            if let Some(message) = message {
                 let ended = |_| io::Error::other("the broker has ended");
-                self.session.front.asks.send(heard).await.map_err(ended)?;
+                self.session.context.broker_inputs.send(message).await.map_err(ended)?;
             }
         }
         Ok(any)
--- a/src/net/clients/request.rs
+++ b/src/net/clients/request.rs
@@ -3,40 +3,46 @@
 use crate::broker::{ClientRequest, Contracts};
 use crate::config::Classes;
 use crate::interface::{ClassId, GroupId, ObjectId};
-use crate::net::{amount, number};
+use crate::net::{parse_non_negative, parse_u64};
 
-/// The answer is to be out so long before the client gives up, whose `ttl` counts from its own send: this share of the `ttl`,
-/// which is to hold what a busy machine adds on both ways, within these bounds (seconds). The most is what the platform's
-/// times are longer by on sockets.
-const MARGIN_SHARE: f64 = 0.025;
-const MARGIN_LEAST: f64 = 0.015;
-const MARGIN_MOST: f64 = 0.05;
-/// Longest time that a client may ask for (milliseconds); it is served as if it waited for its class's time.
-const TTL_MOST: f64 = 600_000.0;
-/// Groups of objects (more would be a mistake).
-const GROUPS: u64 = 256;
-/// Parts of an object (more would be a mistake).
-const PARTS: u64 = 1 << 24;
+/// Share of the `ttl` that is kept back: the answer is to be out this long before the client gives up. The
+/// `ttl` counts from the client's send, so that the margin covers the delays of a busy machine in both
+/// directions.
+const ANSWER_MARGIN_SHARE: f64 = 0.025;
+/// Smallest margin (seconds).
+const MIN_ANSWER_MARGIN: f64 = 0.015;
+/// Largest margin (seconds): the extra time that the platform grants where requests travel over sockets.
+const MAX_ANSWER_MARGIN: f64 = 0.05;
+/// Largest `ttl` (milliseconds). A request waits for no longer than its class's deadline in any case.
+const MAX_TTL_MS: f64 = 600_000.0;
+/// Number of groups; a request for a group beyond is unusable.
+const MAX_GROUPS: u64 = 256;
+/// Number of parts of an object; a request for a part beyond is unusable.
+const MAX_PARTS: u64 = 1 << 24;
 /// Largest size of a part (KB).
-const KB_MOST: f64 = 1e9;
-/// Digits of a call and of an object.
+const MAX_PART_KB: f64 = 1e9;
+/// Longest entity tag or deduplication key (bytes).
+const MAX_TOKEN_BYTES: usize = 128;
+/// Number of digits of a call's id and of an object's id.
 const HEX_DIGITS: usize = 16;
 
-/// A word that can be written on the caches' wire as it is: no separators, no spaces, no control bytes.
-fn token(value: &[u8], most: usize) -> Option<Box<str>> {
-    let fine = |b: &u8| b.is_ascii_graphic() && !b",= ".contains(b);
-    let fits = !value.is_empty() && value.len() <= most && value.iter().all(fine);
+/// Returns a word that can be sent to cache nodes as it is: no separators, no spaces, no control bytes, and
+/// at most `max_length` bytes.
+fn parse_token(value: &[u8], max_length: usize) -> Option<Box<str>> {
+    let allowed = |b: &u8| b.is_ascii_graphic() && !b",= ".contains(b);
+    let fits = !value.is_empty() && value.len() <= max_length && value.iter().all(allowed);
     std::str::from_utf8(value).ok().filter(|_| fits).map(Into::into)
 }
 
-/// So many hexadecimal digits.
-fn hex(value: &[u8]) -> Option<Box<str>> {
-    token(value, HEX_DIGITS).filter(|v| v.len() == HEX_DIGITS && v.bytes().all(|b| b.is_ascii_hexdigit()))
+/// Returns an id of [`HEX_DIGITS`] hexadecimal digits.
+fn parse_hex_id(value: &[u8]) -> Option<Box<str>> {
+    parse_token(value, HEX_DIGITS)
+        .filter(|v| v.len() == HEX_DIGITS && v.bytes().all(|b| b.is_ascii_hexdigit()))
 }
 
-/// Reads a request's fields; `None` if one that is needed is missing, stands twice or cannot be used. Unknown
-/// ones are passed over. Guards the cache nodes, which end a connection with all that is open on it over what
-/// they cannot read, and the core, which a far deadline would keep busy.
+/// Parses a request's fields; `None` if a required field is missing, or a known one is repeated or invalid.
+/// Unknown fields are ignored. Protects the cache nodes, which close a connection with all that is open on it
+/// when they cannot parse a request, and the broker from requests with far deadlines.
 pub(super) fn parse(
     now: f64,
     class: ClassId,
@@ -48,36 +54,37 @@
         [b"call", b"ttl", b"rep", b"dedupe", b"row", b"slice", b"set", b"heap", b"org", b"seen"];
     let mut ask = ClientRequest { class, ..ClientRequest::default() };
     let mut ttl = None;
-    let mut had = [false; NAMES.len()];
+    let mut seen = [false; NAMES.len()];
     for field in fields.split(|&b| b == b',') {
         let Some(at) = field.iter().position(|&b| b == b'=') else { continue };
         let (name, value) = (&field[..at], &field[at + 1..]);
         let Some(known) = NAMES.iter().position(|n| *n == name) else { continue };
-        if std::mem::replace(&mut had[known], true) {
+        if std::mem::replace(&mut seen[known], true) {
             return None;
         }
         match name {
-            b"call" => ask.call = hex(value)?,
-            b"ttl" => ttl = Some(amount(value).filter(|t| (1.0..=TTL_MOST).contains(t))?),
-            b"rep" => ask.repeat = number(value).filter(|&r| r < 2)? == 1,
-            b"dedupe" => ask.key = Some(token(value, 128)?),
+            b"call" => ask.call = parse_hex_id(value)?,
+            b"ttl" => ttl = Some(parse_non_negative(value).filter(|t| (1.0..=MAX_TTL_MS).contains(t))?),
+            b"rep" => ask.repeat = parse_u64(value).filter(|&r| r < 2)? == 1,
+            b"dedupe" => ask.key = Some(parse_token(value, MAX_TOKEN_BYTES)?),
             b"row" => {
-                ask.asset = hex(value)?;
+                ask.asset = parse_hex_id(value)?;
                 ask.object = ObjectId(u64::from_str_radix(&ask.asset, 16).ok()?);
             }
-            b"slice" => ask.part = number(value).filter(|&p| p < PARTS)? as u32,
-            b"set" => ask.group = GroupId(number(value).filter(|&g| g < GROUPS)? as u32),
-            b"heap" => ask.kb = amount(value).filter(|&kb| kb <= KB_MOST)?,
+            b"slice" => ask.part = parse_u64(value).filter(|&p| p < MAX_PARTS)? as u32,
+            b"set" => ask.group = GroupId(parse_u64(value).filter(|&g| g < MAX_GROUPS)? as u32),
+            b"heap" => ask.kb = parse_non_negative(value).filter(|&kb| kb <= MAX_PART_KB)?,
             b"org" => ask.team = contracts.named(value),
-            b"seen" => ask.have = Some(token(value, 128)?),
+            b"seen" => ask.have = Some(parse_token(value, MAX_TOKEN_BYTES)?),
             _ => {}
         }
     }
     let (longest, keyed) = classes.asks(class);
-    let waits = (ttl? / 1000.0).min(longest);
-    ask.deadline = now + waits - (waits * MARGIN_SHARE).clamp(MARGIN_LEAST, MARGIN_MOST);
-    let whole = !ask.call.is_empty() && !ask.asset.is_empty() && (!keyed || ask.key.is_some());
-    whole.then_some(ask)
+    let patience = (ttl? / 1000.0).min(longest);
+    ask.deadline =
+        now + patience - (patience * ANSWER_MARGIN_SHARE).clamp(MIN_ANSWER_MARGIN, MAX_ANSWER_MARGIN);
+    let complete = !ask.call.is_empty() && !ask.asset.is_empty() && (!keyed || ask.key.is_some());
+    complete.then_some(ask)
 }
 
 #[cfg(test)]
--- a/src/net/clients/session.rs
+++ b/src/net/clients/session.rs
@@ -1,62 +1,75 @@
-//! One client connection's requests and answers, without the socket.
+//! The requests and answers of one client connection, without its socket.
 
-use super::{Front, request};
+use super::{ClientContext, request};
 use crate::broker::{Answer, Caller, Count, Input};
 use crate::interface::ClassId;
 use crate::memory::{AccountOwner, Purpose};
 use crate::net::resp::{self, Command, FrameError};
-use crate::net::{Buffer, Output, Unreadable};
+use crate::net::{Buffer, Output, ProtocolError};
 use rustc_hash::FxHashMap;
 use std::cell::Cell;
 use std::rc::Rc;
 use tokio::sync::mpsc::UnboundedSender;
 
-/// Open requests that one connection may have.
-const OPEN_MOST: usize = 32;
-/// Credit for frames: so many a second, and so many at once.
-const CREDIT: (f64, f64) = (1000.0, 500.0);
-/// What a frame costs of it: one that is taken, refused at once, unusable.
-const COSTS: [f64; 3] = [1.0, 2.0, 10.0];
+/// Limit of open requests per connection.
+const MAX_OPEN_REQUESTS: usize = 32;
+/// Rate at which the token bucket for frames is filled (tokens per second).
+const TOKENS_PER_SECOND: f64 = 1000.0;
+/// Capacity of the token bucket for frames (tokens).
+const MAX_TOKENS: f64 = 500.0;
+/// Cost of a frame that is accepted (tokens).
+const FRAME_COST: f64 = 1.0;
+/// Cost of a request that is refused at once (tokens).
+const REFUSED_COST: f64 = 2.0;
+/// Cost of a frame that cannot be used (tokens).
+const UNUSABLE_COST: f64 = 10.0;
 
-/// A request that was taken and is not answered.
-pub(super) struct Taken {
-    /// When the answer is due.
+/// A request that was accepted and is not answered yet.
+pub(super) struct OpenRequest {
+    /// When the answer is due (Unix seconds).
     due: f64,
     class: ClassId,
-    /// Set once nobody waits for it: whoever would send for it sees that at once.
-    gone: Rc<Cell<bool>>,
+    /// Set once the client no longer waits, so that no further attempt is sent for the request.
+    cancelled: Rc<Cell<bool>>,
 }
 
-/// One connection's requests and answers, without the socket.
+/// The requests and answers of one client connection, without its socket.
 pub(in crate::net) struct Session {
-    pub(super) front: Rc<Front>,
+    pub(super) context: Rc<ClientContext>,
+    /// The number of the connection.
     number: u64,
-    /// The tags of what is open.
-    pub(super) open: FxHashMap<u64, Taken>,
+    /// The open requests by tag.
+    pub(super) open: FxHashMap<u64, OpenRequest>,
     reply: UnboundedSender<(u64, Answer)>,
     pub(in crate::net) output: Output,
-    /// It has said something whole that can be used.
-    pub(super) spoken: bool,
-    /// The client has closed its side: requests that are still read are nobody's.
+    /// The client has sent a usable command.
+    pub(super) has_sent_command: bool,
+    /// The client has closed its side: requests that are still read are ignored.
     pub(super) client_left: bool,
-    /// Credit for frames, and when it was topped up. Below zero, nothing is read.
-    credit: (f64, f64),
+    /// Level of the token bucket for frames. Below zero, nothing is read.
+    tokens: f64,
+    /// When the token bucket was last filled (Unix seconds).
+    tokens_at: f64,
 }
 
 impl Session {
-    pub(in crate::net) fn new(front: Rc<Front>, reply: UnboundedSender<(u64, Answer)>) -> Self {
-        let number = front.numbers.get() + 1;
-        front.numbers.set(number);
-        let unread = front.memory.empty(AccountOwner { precious: true, ..AccountOwner::of(Purpose::Unread) });
+    pub(in crate::net) fn new(
+        context: Rc<ClientContext>,
+        reply: UnboundedSender<(u64, Answer)>,
+    ) -> Self {
+        let number = context.numbers.get() + 1;
+        context.numbers.set(number);
+        let unread = context.memory.empty(AccountOwner { precious: true, ..AccountOwner::of(Purpose::Unread) });
         Session {
-            front,
+            context,
             number,
             open: FxHashMap::default(),
             reply,
             output: Output::new(unread),
-            spoken: false,
+            has_sent_command: false,
             client_left: false,
-            credit: (CREDIT.1, 0.0),
+            tokens: MAX_TOKENS,
+            tokens_at: 0.0,
         }
     }
 
@@ -64,76 +77,78 @@
         Caller { connection: self.number, tag }
     }
 
-    /// When the next frame may be taken. Guards against a flood, and against a client that comes again as
-    /// soon as it is turned away: its answers go out at once, but it is not heard faster than others.
+    /// Fills the token bucket, and returns when the next frame may be processed (Unix seconds). Limits
+    /// floods, and clients that retry as soon as they are refused: they are answered at once, but not read
+    /// from faster than others.
     pub(super) fn reads_at(&mut self, now: f64) -> f64 {
-        let level = self.credit.0 + (now - self.credit.1).clamp(0.0, 1.0) * CREDIT.0;
-        self.credit = (level.min(CREDIT.1), now);
-        now + (-self.credit.0 / CREDIT.0).max(0.0)
+        let level = self.tokens + (now - self.tokens_at).clamp(0.0, 1.0) * TOKENS_PER_SECOND;
+        (self.tokens, self.tokens_at) = (level.min(MAX_TOKENS), now);
+        now + (-self.tokens / TOKENS_PER_SECOND).max(0.0)
     }
 
-    /// Takes one whole frame off the buffer: `None` if there is none, else what the broker is to hear of it.
-    pub(in crate::net) fn take(
+    /// Processes one complete frame of the buffer: `None` if there is none, `Some` with the message to the
+    /// broker, if any, otherwise.
+    pub(in crate::net) fn process_frame(
         &mut self,
         now: f64,
         input: &mut Buffer,
     ) -> Result<Option<Option<Input>>, FrameError> {
-        // What is owed to a client that does not read must not outgrow the connection's own.
+        // The answers to a client that does not read must fit the connection's own memory.
         if self.reads_at(now) > now || self.output.crowded() {
             return Ok(None);
         }
         let Some((command, used)) = resp::parse(input.bytes())? else {
-            return Ok(self.refuse_announced(input));
+            return Ok(self.admit_partial_request(input));
         };
-        let mut say = |tag, word| resp::answer(&mut self.output, tag, word, "", None);
-        let [mut cost, refused, unusable] = COSTS;
-        let mut usable = true;
-        let heard = match command {
+        let mut write = |tag, word| resp::answer(&mut self.output, tag, word, "", None);
+        let (mut cost, mut usable) = (FRAME_COST, true);
+        let message = match command {
             Command::Health { tag } => {
-                say(tag, if self.front.ready.get() { "yes" } else { "no" });
+                write(tag, if self.context.ready.get() { "yes" } else { "no" });
                 None
             }
-            Command::Abort { tag } => self.open.remove(&tag).map(|taken| {
-                taken.gone.set(true);
+            Command::Abort { tag } => self.open.remove(&tag).map(|open| {
+                open.cancelled.set(true);
                 Input::Abort(self.caller(tag))
             }),
             Command::Request { .. } if self.client_left => None,
             Command::Unusable { tag } => {
-                say(tag, "fault");
-                (cost, usable) = (unusable, false);
+                write(tag, "fault");
+                (cost, usable) = (UNUSABLE_COST, false);
                 None
             }
-            // Two answers under one tag could not be told apart.
+            // The client could not tell two answers with the same tag apart.
             Command::Request { tag, .. } if self.open.contains_key(&tag) => {
-                return Err(FrameError { why: Unreadable("a tag that is in use"), tag: None });
+                return Err(FrameError { why: ProtocolError("a tag that is in use"), tag: None });
             }
             Command::Request { tag, class, fields, body } => {
-                let front = &self.front;
-                let class = front.classes.get(class);
+                let context = &self.context;
+                let class = context.classes.get(class);
                 let ask =
-                    class.and_then(|c| request::parse(now, c, &front.classes, &front.contracts, fields));
-                let ask = ask.map(|ask| match self.open.len() >= OPEN_MOST {
+                    class.and_then(|c| request::parse(now, c, &context.classes, &context.contracts, fields));
+                let ask = ask.map(|ask| match self.open.len() >= MAX_OPEN_REQUESTS {
                     true => None,
-                    false => front.hold(ask, body).ok(),
+                    false => context.reserve_memory(ask, body).ok(),
                 });
                 match ask {
                     None => {
-                        say(tag, "fault");
+                        write(tag, "fault");
                         if let Some(class) = class {
-                            front.figures.count(class, Count::Failure);
+                            context.figures.count(class, Count::Failure);
                         }
-                        (cost, usable) = (unusable, false);
+                        (cost, usable) = (UNUSABLE_COST, false);
                         None
                     }
                     Some(None) => {
-                        front.figures.count(class.unwrap_or_default(), Count::Busy);
-                        self.refuse(tag, self.front.wait);
-                        cost = refused;
+                        context.figures.count(class.unwrap_or_default(), Count::Busy);
+                        self.refuse(tag, self.context.pushback);
+                        cost = REFUSED_COST;
                         None
                     }
                     Some(Some(mut ask)) => {
-                        let gone = ask.gone.clone();
-                        self.open.insert(tag, Taken { due: ask.deadline, class: ask.class, gone });
+                        let cancelled = ask.gone.clone();
+                        let open = OpenRequest { due: ask.deadline, class: ask.class, cancelled };
+                        self.open.insert(tag, open);
                         ask.reader = Some(self.output.reader());
                         Some(Input::Ask {
                             caller: self.caller(tag),
@@ -145,45 +160,45 @@
             }
         };
         input.consume(used);
-        self.spoken |= usable;
-        self.credit.0 -= cost;
-        Ok(Some(heard))
+        self.has_sent_command |= usable;
+        self.tokens -= cost;
+        Ok(Some(message))
     }
 
-    /// A request whose body is still to come: there is memory for all of it, or it is refused now and its bytes are
-    /// passed over as they come.
-    fn refuse_announced(&mut self, input: &mut Buffer) -> Option<Option<Input>> {
+    /// Admits a request whose body is still incomplete if there is memory for all of it. Otherwise refuses it
+    /// now, and skips its bytes as they come.
+    fn admit_partial_request(&mut self, input: &mut Buffer) -> Option<Option<Input>> {
         let resp::Pending { tag, class, body, total } = resp::pending(input.bytes())?;
-        let front = &self.front;
-        let class = front.classes.get(class);
-        let precious = class.is_some_and(|c| front.classes.never_kept(c));
-        input.set_room(|| front.memory.empty(AccountOwner { precious, ..AccountOwner::of(Purpose::Bodies) }));
-        let admitted = self.open.len() < OPEN_MOST && front.memory.admits(body, precious);
+        let context = &self.context;
+        let class = context.classes.get(class);
+        let precious = class.is_some_and(|c| context.classes.never_kept(c));
+        input.set_room(|| context.memory.empty(AccountOwner { precious, ..AccountOwner::of(Purpose::Bodies) }));
+        let admitted = self.open.len() < MAX_OPEN_REQUESTS && context.memory.admits(body, precious);
         if admitted && input.reserve(total - input.len()).is_ok() || self.open.contains_key(&tag) {
             return None;
         }
         input.skip(total);
         if let Some(class) = class {
-            front.figures.count(class, Count::Busy);
+            context.figures.count(class, Count::Busy);
         }
-        self.refuse(tag, self.front.wait);
-        self.credit.0 -= COSTS[1];
-        self.spoken = true;
+        self.refuse(tag, self.context.pushback);
+        self.tokens -= REFUSED_COST;
+        self.has_sent_command = true;
         Some(None)
     }
 
-    /// Nobody waits for what is open any more: nothing is sent for it from now on, and the broker is to hear of it.
+    /// Cancels all open requests: no further attempt is sent for them. Returns the messages to the broker.
     pub(in crate::net) fn cancel_open(&mut self) -> Vec<Input> {
         let open = std::mem::take(&mut self.open);
-        open.values().for_each(|taken| taken.gone.set(true));
+        open.values().for_each(|request| request.cancelled.set(true));
         open.into_keys().map(|tag| Input::Abort(self.caller(tag))).collect()
     }
 
-    /// Nothing more can be read: what is owed is failed, and so is the frame if its tag could be read. To be followed by
-    /// [`Session::cancel_open`].
+    /// Answers all open requests as failed after a protocol error, and also the faulty frame if its tag is
+    /// known. To be followed by [`Session::cancel_open`].
     pub(in crate::net) fn fail_open(&mut self, tag: Option<u64>) {
-        for (&tag, taken) in &self.open {
-            self.front.figures.count(taken.class, Count::Failure);
+        for (&tag, request) in &self.open {
+            self.context.figures.count(request.class, Count::Failure);
             resp::answer(&mut self.output, tag, "fault", "", None);
         }
         if let Some(tag) = tag.filter(|tag| !self.open.contains_key(tag)) {
@@ -191,9 +206,10 @@
         }
     }
 
+    /// Writes the answer to an open request into the output.
     pub(in crate::net) fn answer(&mut self, tag: u64, answer: Answer) {
-        // After an abort none is owed, and one that crossed it is dropped.
-        let Some(Taken { due, .. }) = self.open.remove(&tag) else { return };
+        // An answer that crossed an abort is dropped.
+        let Some(OpenRequest { due, .. }) = self.open.remove(&tag) else { return };
         match answer {
             Answer::Served(content) if content.current => {
                 resp::answer(&mut self.output, tag, "ok", "current=1", None);
@@ -201,16 +217,16 @@
             Answer::Served(content) => {
                 resp::answer(&mut self.output, tag, "ok", "", Some((content.body, content.grant, due)));
             }
-            Answer::Refused(wait) | Answer::OverBudget(wait) => self.refuse(tag, wait),
+            Answer::Refused(pushback) | Answer::OverBudget(pushback) => self.refuse(tag, pushback),
             Answer::Failed | Answer::Late | Answer::Forbidden => {
                 resp::answer(&mut self.output, tag, "fault", "", None);
             }
         }
     }
 
-    fn refuse(&mut self, tag: u64, wait: f64) {
-        let fields = match wait > 0.0 {
-            true => format!("pushback={}", (wait * 1000.0).ceil()),
+    fn refuse(&mut self, tag: u64, pushback: f64) {
+        let fields = match pushback > 0.0 {
+            true => format!("pushback={}", (pushback * 1000.0).ceil()),
             false => String::new(),
         };
         resp::answer(&mut self.output, tag, "full", &fields, None);
--- a/src/net/clients/timers.rs
+++ b/src/net/clients/timers.rs
@@ -1,82 +1,84 @@
-//! How long a client connection waits, and for what.
+//! The timers of a client connection, and what it waits for next.
 
 use crate::clock;
 use tokio::io::Interest;
 
-/// An idle connection is closed after this (seconds). Clients close theirs after 4 s.
-pub(super) const IDLE: f64 = 5.0;
-/// One that has said nothing whole is closed this long after it was made (seconds).
-const SPEAK: f64 = 2.0;
-/// A frame is to be whole this long after its first byte (seconds).
-pub(super) const WHOLE: f64 = 2.0;
-/// One that takes nothing of what it is sent is closed after this (seconds): what it holds is late by then,
-/// and its bytes are counted against everybody's.
-pub(super) const STALLED: f64 = 5.0;
+/// An idle connection is closed after this time (seconds). Clients close theirs after 4 s.
+pub(super) const IDLE_TIMEOUT: f64 = 5.0;
+/// A new connection is closed if no usable command came within this time (seconds).
+const FIRST_COMMAND_TIMEOUT: f64 = 2.0;
+/// A frame must be complete this long after its first byte (seconds).
+pub(super) const FRAME_TIMEOUT: f64 = 2.0;
+/// A connection whose client reads none of its answers is closed after this time (seconds): the answers are
+/// late by then, and their bytes count against the memory of all.
+pub(super) const STALL_TIMEOUT: f64 = 5.0;
 
-/// When a connection's waits end (Unix seconds).
+/// When a connection's timeouts expire (Unix seconds).
 pub(super) struct Timers {
     /// It has been idle for too long.
     pub(super) idle_at: f64,
-    /// It has taken nothing of what it is sent for too long.
+    /// Its client has read nothing of its answers for too long.
     pub(super) stalled_at: f64,
-    /// It is to have said something usable.
-    pub(super) speak_by: f64,
-    /// The frame that has begun is to be whole.
-    pub(super) whole_by: Option<f64>,
-    /// The client is to have taken what the system holds for it: longer after an idle connection would be closed, since the
-    /// client cannot see the end of this one.
-    pub(super) taken_by: Option<f64>,
-    /// It is not closed before, since the client is to acknowledge by then what it was sent just now.
+    /// The first usable command must have come.
+    pub(super) first_command_by: f64,
+    /// The frame whose first bytes have come must be complete.
+    pub(super) frame_by: Option<f64>,
+    /// The client must have made room for what the system still holds for it. This is later than the idle
+    /// timeout, since the client cannot see an end of stream until then.
+    pub(super) unblocked_by: Option<f64>,
+    /// The connection is not closed before, since the client's acknowledgement of the last bytes is due by
+    /// then.
     pub(super) acknowledged_by: f64,
 }
 
 impl Timers {
-    /// For a connection that is made now.
+    /// The timers of a connection that was accepted now.
     pub(super) fn new(now: f64) -> Self {
         Timers {
-            idle_at: now + IDLE,
-            stalled_at: now + STALLED,
-            speak_by: now + SPEAK,
-            whole_by: None,
-            taken_by: None,
+            idle_at: now + IDLE_TIMEOUT,
+            stalled_at: now + STALL_TIMEOUT,
+            first_command_by: now + FIRST_COMMAND_TIMEOUT,
+            frame_by: None,
+            unblocked_by: None,
             acknowledged_by: now,
         }
     }
 
-    /// Something has come, or is to go.
-    pub(super) fn active(&mut self) {
-        self.idle_at = clock::now() + IDLE;
+    /// Restarts the idle timeout, since input came or an answer is to be written.
+    pub(super) fn restart_idle(&mut self) {
+        self.idle_at = clock::now() + IDLE_TIMEOUT;
     }
 }
 
-/// What a connection waits for in one turn.
+/// What a connection waits for next.
 pub(super) struct Wait {
     pub(super) now: f64,
-    /// Answers are unsent.
-    pub(super) writes: bool,
-    /// Nothing is open and all is written, but the client's system is known to have no room for all of it.
-    pub(super) untaken: bool,
-    /// Nothing is open, and nothing is known to be unsent.
+    /// Answers are to be written to the socket.
+    pub(super) has_unwritten: bool,
+    /// No request is open and all answers are written, but the client is known to have no room for all of
+    /// them.
+    pub(super) send_blocked: bool,
+    /// No request is open, and nothing is known to be unsent.
     pub(super) idle: bool,
-    /// Nothing is read, since too much is unsent, or the front ends.
-    pub(super) held_back: bool,
-    /// When frames are taken again, where its client has sent too many (Unix seconds).
+    /// Nothing is read, since too much is unsent or the front ends.
+    pub(super) backpressure: bool,
+    /// When frames are processed again, if the client has exceeded its rate (Unix seconds).
     pub(super) throttled_until: Option<f64>,
-    /// It has taken nothing of what it is sent by then.
+    /// The connection is closed then if the client has read nothing of its answers (Unix seconds).
     pub(super) stalled_by: f64,
-    /// The first of its timers.
-    pub(super) until: Option<f64>,
+    /// The first timer to expire, if any (Unix seconds).
+    pub(super) next_timer: Option<f64>,
 }
 
 impl Wait {
-    /// Is nothing read for now?
+    /// Returns whether nothing is read for now.
     pub(super) fn reads_paused(&self) -> bool {
-        self.held_back || self.throttled_until.is_some()
+        self.backpressure || self.throttled_until.is_some()
     }
 
-    /// What the socket is to be ready for.
+    /// Returns the readiness to wait for on the socket.
     pub(super) fn interest(&self) -> Interest {
-        match (self.reads_paused(), self.writes) {
+        match (self.reads_paused(), self.has_unwritten) {
             (true, _) => Interest::WRITABLE,
             (false, true) => Interest::READABLE | Interest::WRITABLE,
             (false, false) => Interest::READABLE,
--- a/src/net/closing.rs
+++ b/src/net/closing.rs
@@ -1,4 +1,5 @@
-//! How a client connection closes: one last look for input, a lingering close, and seeing that the other side has closed.
+//! Closing client connections: a last check for input, the lingering close, and detecting that the peer has
+//! closed.
 
 use super::{ClientSocket, ConnectionSlot, Output, SendState};
 use crate::clock;
@@ -12,20 +13,21 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout_at;
 
-/// A client that is not read from is looked at so often (seconds). What its departure leaves to be sent is not to be sent
-/// on 0.1 s later.
+/// Interval of checks whether a client that is not read from has left (seconds). No attempts may be sent for
+/// its requests
+/// 0.1 s after it left.
 pub const PEER_CHECK_INTERVAL: f64 = 0.05;
-/// Before its write side is shut, a connection that may linger waits so long for its client to take the last answers
-/// (seconds). What is taken later than this is late.
+/// Time that a connection that may linger waits for its client to read the last answers, before the write
+/// side is shut (seconds). Answers that are read later than this are late.
 const FLUSH_WINDOW: f64 = 5.0;
-/// After its write side was shut, a lingering connection waits so long for its client to close (seconds).
+/// Time that a lingering connection waits for its client to close, after the write side was shut (seconds).
 const LINGER_WINDOW: f64 = 0.5;
-/// It discards so many bytes of what still comes (bytes).
-const LINGER_DISCARD: usize = 64 * 1024;
-/// Before an idle connection is closed, it may still be read from for so long (seconds).
+/// Limit of the input that a lingering connection discards (bytes).
+const LINGER_DISCARD_BYTES: usize = 64 * 1024;
+/// Time for which an idle connection may still become readable before it is closed (seconds).
 pub(super) const FINAL_READ_WINDOW: f64 = 0.002;
 
-/// Has the other side closed, whatever of what it sent is still unread?
+/// Returns whether the peer has closed its side, even if some of its input is still unread.
 pub async fn peer_has_closed(stream: &TcpStream) -> io::Result<bool> {
     tokio::select! {
         biased;
@@ -34,22 +36,23 @@
     }
 }
 
-/// Does something come on a connection that is about to close? Guards a request that lies in the system's buffer and of
-/// which this busy thread has not been told: it was taken, and is owed an answer.
+/// Returns whether input comes on a connection that is about to close. A request may be in the system's
+/// buffer although this busy thread has not been notified of it yet; it counts as accepted and must be
+/// answered.
 pub async fn readable_within_window(stream: &TcpStream) -> bool {
     let until = clock::instant(clock::now() + FINAL_READ_WINDOW);
     timeout_at(until, stream.readable()).await.is_ok()
 }
 
-/// Has something come that was not read? Asks the system.
+/// Returns whether there is unread input. Asks the system.
 pub(super) fn has_input(stream: &TcpStream) -> bool {
     ready_now(stream, PollFlags::POLLIN).is_ok()
 }
 
-/// Asks the system itself whether a socket is ready for this: [`io::ErrorKind::WouldBlock`] if it is not. Has the system
-/// tell the runtime once it is.
-pub(super) fn ready_now(stream: &TcpStream, wanted: PollFlags) -> io::Result<()> {
-    let mut polled = [PollFd::new(stream.as_fd(), wanted)];
+/// Polls the system whether a socket is ready for these events: [`io::ErrorKind::WouldBlock`] if it is not.
+/// The system then notifies the runtime once it is.
+pub(super) fn ready_now(stream: &TcpStream, events: PollFlags) -> io::Result<()> {
+    let mut polled = [PollFd::new(stream.as_fd(), events)];
     loop {
         match poll(&mut polled, PollTimeout::ZERO) {
             Ok(0) => return Err(io::ErrorKind::WouldBlock.into()),
@@ -60,23 +63,24 @@
     }
 }
 
-/// A lingering close: writes the last answers, shuts the write side once they are sent, and discards what still comes until
-/// the client has closed too. Closing with bytes unread would reset the connection, and the client might lose what it was
-/// sent last.
+/// Performs a lingering close: writes the last answers, shuts the write side once they are sent, and discards
+/// input until the client has closed too. Closing with unread input would reset the connection, and the
+/// client might lose the last answers.
 pub async fn linger(socket: &ClientSocket, slot: &ConnectionSlot, last: &mut Output) {
     slot.begin_close();
-    let permit = slot.linger();
+    let permit = slot.linger_permit();
     let (flush_window, discard) = match &permit {
-        Some(_) => (FLUSH_WINDOW, LINGER_DISCARD),
+        Some(_) => (FLUSH_WINDOW, LINGER_DISCARD_BYTES),
         None => (LINGER_WINDOW, 0),
     };
-    // Whether the client got them or not, the connection is closed now.
+    // The connection is closed now, whether the client got the answers or not.
     let _ = timeout_at(clock::instant(clock::now() + flush_window), flush(socket, last)).await;
     let by = clock::instant(clock::now() + LINGER_WINDOW);
     let _ = timeout_at(by, shut_and_discard(socket, discard)).await;
 }
 
-/// Writes the last answers, and waits until the system has sent them and the client's has room for an end behind them.
+/// Writes the last answers, and waits until they are sent and the client has room for an end of stream behind
+/// them.
 async fn flush(socket: &ClientSocket, last: &mut Output) -> io::Result<()> {
     loop {
         last.write_to(socket)?;
@@ -90,13 +94,13 @@
     }
 }
 
-/// Shuts the write side, and discards up to so many bytes of what still comes until the other side has closed too.
-pub async fn shut_and_discard(stream: &TcpStream, most: usize) -> io::Result<()> {
+/// Shuts the write side, and discards up to `max_bytes` of input until the peer has closed too.
+pub async fn shut_and_discard(stream: &TcpStream, max_bytes: usize) -> io::Result<()> {
     SockRef::from(stream).shutdown(Shutdown::Write)?;
-    let (mut rest, mut discarded) = ([0; 512], 0);
-    while discarded < most {
+    let (mut scratch, mut discarded) = ([0; 512], 0);
+    while discarded < max_bytes {
         stream.readable().await?;
-        match stream.try_read(&mut rest) {
+        match stream.try_read(&mut scratch) {
             Ok(0) => break,
             Ok(n) => discarded += n,
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
--- a/src/net/connections.rs
+++ b/src/net/connections.rs
@@ -1,5 +1,6 @@
-//! The table of a front's client connections: which of them may be idle, in what order they may be closed to make room, and
-//! how many may linger after their close. Whether a client has been sent its answers is asked in the moment of a close.
+//! The table of a front's client connections: which of them are idle, in what order idle ones are evicted to
+//! make room, and how many may linger after their close. The system is asked whether a client has its answers
+//! only when one is to be closed.
 
 use super::SendState;
 use std::cell::{Cell, RefCell};
@@ -7,49 +8,52 @@
 use std::rc::{Rc, Weak};
 use tokio::sync::Notify;
 
-/// An idle connection is left to its client for so long (seconds). Nothing tells a front what of its answers the client's
-/// program has read, and what that sends before it has seen the end behind them is lost; on a new connection, the first
-/// request may be on its way.
+/// Grace period of an idle connection before it may be closed (seconds). A front cannot see which of its
+/// answers the client's program has read, and a request that the program sends before it has seen the end of
+/// stream behind them is lost; on a new connection, the first request may be on its way.
 pub(super) const IDLE_GRACE: f64 = 1.0;
 
-/// The order in which idle connections are closed: those that never sent a usable command first, then those that have been
-/// idle for longest.
+/// The order in which idle connections are evicted: those that never sent a usable command first, then those
+/// that have been idle for longest.
 type IdleKey = (bool, u64);
 
-/// How connections close once they are idle.
+/// When idle connections close once the front takes no more clients.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 enum CloseAll {
-    /// They stay.
+    /// The front still takes clients: idle connections stay open.
     #[default]
     No,
-    /// Each closes once its client had the time to read its last answer.
-    AfterReading,
+    /// Each closes once [`IDLE_GRACE`] has passed since its last answer.
+    AfterGrace,
     /// Each closes once its client's system has its last answer.
-    Immediately,
-    /// Each closes right behind its last answer.
-    BehindAnswers,
+    AfterDelivery,
+    /// Each closes once its last answer is sent, without waiting for an acknowledgement.
+    AfterSend,
 }
 
-/// Why one connection is asked to close.
+/// Why a connection gets a close request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum CloseReason {
-    /// Memory is scarce. Once something is read on it another may close in its stead, which the next look decides.
+    /// Memory is scarce. If input cancels the request, the next check for scarce memory may choose another
+    /// connection.
     Memory,
-    /// A new client has its place: it closes, or another does in its stead.
-    Place,
+    /// Its slot is reserved for a new connection: it closes, or another closes in its stead.
+    NewConnection,
 }
 
-/// Where a connection stands between its accept and its end.
+/// The state of a connection between its accept and its end.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 enum State {
-    /// Something is open on it, was just read from it, or is known to be unsent.
+    /// A request is open on it, something was just read from it, or bytes are known to be unsent.
     #[default]
     Active,
-    /// Nothing is, as far as is known without asking the system: it may be chosen to close.
+    /// Nothing is open or known to be unsent, as far as can be told without asking the system: it may be
+    /// evicted.
     Idle(IdleKey),
-    /// It is idle and asked to close now, if nothing comes on it before.
-    Asked,
-    /// It is idle and owes its place, which it gives at this time, if nothing is read on it before (Unix seconds).
+    /// It is idle and has a close request: it closes now, unless input comes first.
+    CloseRequested,
+    /// It is idle and its slot is reserved: it closes at this time, unless something is read on it before
+    /// (Unix seconds).
     ClosesAt(f64),
     /// It is being closed.
     Closing,
@@ -60,38 +64,39 @@
 pub(super) struct ConnectionTable {
     next_number: Cell<u64>,
     idle: RefCell<BTreeMap<IdleKey, Rc<Entry>>>,
-    /// Those that are asked to close.
-    asked: RefCell<Vec<Rc<Entry>>>,
-    /// Those whose place was given to a new client and that something was read on just then: the first to owe it first.
-    owing: RefCell<Vec<Rc<Entry>>>,
+    /// Connections that have a close request.
+    close_requested: RefCell<Vec<Rc<Entry>>>,
+    /// Connections whose slot is reserved for a new connection and whose close request was cancelled by
+    /// input, in the order in which their slots are to be freed.
+    reserved: RefCell<Vec<Rc<Entry>>>,
     close_all: Cell<CloseAll>,
     lingering: Cell<usize>,
-    extra_most: usize,
+    max_extra: usize,
     open: Cell<usize>,
     closing: Cell<usize>,
     closed: Notify,
-    /// A place was given, or one that was asked for it stays.
-    places_changed: Notify,
+    /// A slot was freed, or a close request was cancelled.
+    slots_changed: Notify,
 }
 
 impl ConnectionTable {
-    /// An empty table. Beside those that have a place, so many connections may linger, and so many may be about to give
-    /// theirs to new clients that are there already.
-    pub(super) fn new(extra_most: usize) -> Rc<Self> {
-        Rc::new(ConnectionTable { extra_most, ..ConnectionTable::default() })
+    /// An empty table. `max_extra` connections may linger beside those that have a slot, and as many may
+    /// still hold a slot that is reserved for a new connection which is already open.
+    pub(super) fn new(max_extra: usize) -> Rc<Self> {
+        Rc::new(ConnectionTable { max_extra, ..ConnectionTable::default() })
     }
 
-    /// How many connections are open.
+    /// Returns the number of open connections.
     pub(super) fn open(&self) -> usize {
         self.open.get()
     }
 
-    /// How many connections are open and not being closed: each has a place that is nobody else's.
-    pub(super) fn places_taken(&self) -> usize {
+    /// Returns the number of connections that are open and not being closed.
+    pub(super) fn slots_in_use(&self) -> usize {
         self.open.get() - self.closing.get()
     }
 
-    /// How many connections may be chosen to close.
+    /// Returns the number of connections that may be evicted.
     pub(super) fn idle(&self) -> usize {
         self.idle.borrow().len()
     }
@@ -103,95 +108,101 @@
         }
     }
 
-    /// Are all connections to close as soon as they are idle?
+    /// Returns whether all connections are to close as soon as they are idle.
     pub(super) fn is_closing_all(&self) -> bool {
         self.close_all.get() != CloseAll::No
     }
 
-    /// Has every connection close once it is idle and its client had the time to read its last answer.
-    pub(super) fn close_all_after_reading(&self) {
-        self.set_close_all(CloseAll::AfterReading);
+    /// Closes every connection once it is idle and [`IDLE_GRACE`] has passed since its last answer.
+    pub(super) fn close_all_after_grace(&self) {
+        self.set_close_all(CloseAll::AfterGrace);
     }
 
-    /// Has every connection close as soon as it is idle and its client's system has its last answer.
-    pub(super) fn close_all_immediately(&self) {
-        self.set_close_all(CloseAll::Immediately);
+    /// Closes every connection once it is idle and its client's system has its last answer.
+    pub(super) fn close_all_after_delivery(&self) {
+        self.set_close_all(CloseAll::AfterDelivery);
     }
 
-    /// Has every connection close right behind its last answer, unless its client's system is known to have no room for that.
-    pub(super) fn close_all_behind_answers(&self) {
-        self.set_close_all(CloseAll::BehindAnswers);
+    /// Closes every connection once its last answer is sent, unless its client's system is known to have no
+    /// room for that.
+    pub(super) fn close_all_after_send(&self) {
+        self.set_close_all(CloseAll::AfterSend);
     }
 
     fn set_close_all(&self, close_all: CloseAll) {
         self.close_all.set(close_all);
         self.idle.borrow().values().for_each(|entry| entry.changed.notify_one());
-        self.owing.borrow().iter().for_each(|entry| entry.changed.notify_one());
+        self.reserved.borrow().iter().for_each(|entry| entry.changed.notify_one());
     }
 
-    /// Makes a place for a new client: an idle connection is asked to close, and the new client is beside it for that moment.
-    /// Where many are beside already, waits until they closed; `false` if none is idle, or they stay.
-    pub(super) async fn make_place(&self) -> bool {
-        while self.asked.borrow().len() + self.owing.borrow().len() >= self.extra_most {
-            if self.asked.borrow().is_empty() {
+    /// Evicts an idle connection for a new one, which is open beside it until it has closed. Where
+    /// `max_extra` slots are reserved already, waits until some of them are free. Returns `false` if no
+    /// connection is idle, or if those with a reserved slot stay open.
+    pub(super) async fn free_slot(&self) -> bool {
+        while self.close_requested.borrow().len() + self.reserved.borrow().len() >= self.max_extra {
+            if self.close_requested.borrow().is_empty() {
                 return false;
             }
-            self.places_changed.notified().await;
+            self.slots_changed.notified().await;
         }
-        self.close_most_idle()
+        self.evict_idle()
     }
 
-    /// Asks the first idle connection to close, so that another gets its place; is there one? One that has spoken and is in
-    /// the middle of a message comes last: the others lose nothing. Nobody is asked while many owe their place.
-    pub(super) fn close_most_idle(&self) -> bool {
-        self.ask_for_place().is_some()
+    /// Sends a close request to the first idle connection and reserves its slot for a new connection. Returns
+    /// `false` if there is none, or if too many slots are reserved already. A connection that has sent a
+    /// usable command and is in the middle of a message is chosen last: the others lose nothing.
+    pub(super) fn evict_idle(&self) -> bool {
+        self.reserve_slot().is_some()
     }
 
-    /// The same; which is it?
-    fn ask_for_place(&self) -> Option<Rc<Entry>> {
-        if self.owing.borrow().len() >= self.extra_most {
+    /// Like [`ConnectionTable::evict_idle`], but returns the connection whose slot is reserved.
+    fn reserve_slot(&self) -> Option<Rc<Entry>> {
+        if self.reserved.borrow().len() >= self.max_extra {
             return None;
         }
-        let between_messages = |entry: &Entry| !entry.spoken.get() || !entry.mid_message.get();
-        self.take_place_given_for_memory()
-            .or_else(|| self.close_first(CloseReason::Place, between_messages))
-            .or_else(|| self.close_first(CloseReason::Place, |_| true))
+        let between_messages = |entry: &Entry| !entry.has_sent_command.get() || !entry.mid_message.get();
+        self.reserve_slot_closing_for_memory()
+            .or_else(|| self.evict_first(CloseReason::NewConnection, between_messages))
+            .or_else(|| self.evict_first(CloseReason::NewConnection, |_| true))
     }
 
-    /// Gives a new client the place of one that is asked to close for its memory, if there is one.
-    fn take_place_given_for_memory(&self) -> Option<Rc<Entry>> {
-        let asked = self.asked.borrow();
-        asked.iter().find(|entry| !entry.owes_place.replace(true)).cloned()
+    /// Reserves the slot of a connection that already has a close request for its memory, if there is one.
+    fn reserve_slot_closing_for_memory(&self) -> Option<Rc<Entry>> {
+        let close_requested = self.close_requested.borrow();
+        close_requested.iter().find(|entry| !entry.slot_reserved.replace(true)).cloned()
     }
 
-    /// Asks the first idle connection to close for its memory, but only one that was left to its client for [`IDLE_GRACE`] and
-    /// is not in the middle of a message.
-    pub(super) fn close_idle_since_grace(&self, now: f64) -> bool {
+    /// Evicts the first idle connection for its memory, of those that have been idle for [`IDLE_GRACE`] and
+    /// are not in the middle of a message. Returns `false` if there is none.
+    pub(super) fn evict_after_grace(&self, now: f64) -> bool {
         let since = now - IDLE_GRACE;
         let may_close = |entry: &Entry| entry.idle_since.get() <= since && !entry.mid_message.get();
-        self.close_first(CloseReason::Memory, may_close).is_some()
+        self.evict_first(CloseReason::Memory, may_close).is_some()
     }
 
-    /// The same for a new client, to which also those give way that never said anything usable.
-    pub(super) fn close_idle_for_newcomer(&self, now: f64) -> bool {
-        let unspoken = |entry: &Entry| !entry.spoken.get();
-        self.close_first(CloseReason::Memory, unspoken).is_some() || self.close_idle_since_grace(now)
+    /// Evicts an idle connection to get memory for a new one: one that never sent a usable command, or else
+    /// one whose grace period has passed. Returns `false` if there is none.
+    pub(super) fn evict_silent_or_after_grace(&self, now: f64) -> bool {
+        let silent = |entry: &Entry| !entry.has_sent_command.get();
+        self.evict_first(CloseReason::Memory, silent).is_some() || self.evict_after_grace(now)
     }
 
-    /// The same without that time, for a new client that waited for it.
-    pub(super) fn close_idle_for_memory(&self) -> bool {
+    /// Evicts an idle connection for its memory without regard to the grace period, for a new connection that
+    /// has waited that long. Returns `false` if there is none.
+    pub(super) fn evict_ignoring_grace(&self) -> bool {
         let between_messages = |entry: &Entry| !entry.mid_message.get();
-        self.close_first(CloseReason::Memory, between_messages)
-            .or_else(|| self.close_first(CloseReason::Memory, |_| true))
+        self.evict_first(CloseReason::Memory, between_messages)
+            .or_else(|| self.evict_first(CloseReason::Memory, |_| true))
             .is_some()
     }
 
-    /// Asks the first idle connection that may close to do so, and passes over those whose clients have no room for their
-    /// answers: what is idle is a candidate, and only the system knows at this moment whether its client can see an end. One
-    /// that was answered just now and whose acknowledgement is not here yet is asked, and its task waits for that. One that was
-    /// sent something later than it became idle is idle since then.
-    fn close_first(&self, reason: CloseReason, may_close: impl Fn(&Entry) -> bool) -> Option<Rc<Entry>> {
-        while let Some(entry) = self.take_first(&may_close) {
+    /// Sends a close request to the first idle connection that may close, and returns it. Idle connections
+    /// are only candidates, since only the system knows whether a client can see an end of stream now: those
+    /// whose clients have no room for their answers become active again. A connection whose last answer is
+    /// not acknowledged yet may be chosen; its task waits for the acknowledgement. A connection that sent its
+    /// last bytes after it became idle counts as idle from then on.
+    fn evict_first(&self, reason: CloseReason, may_close: impl Fn(&Entry) -> bool) -> Option<Rc<Entry>> {
+        while let Some(entry) = self.remove_first_idle(&may_close) {
             if entry.socket.delivery().is_blocked() {
                 entry.state.set(State::Active);
                 entry.changed.notify_one();
@@ -199,7 +210,7 @@
             }
             entry.postpone_to_last_sent();
             if may_close(&entry) {
-                self.ask_to_close(&entry, reason);
+                self.request_close(&entry, reason);
                 return Some(entry);
             }
             self.add_idle(&entry);
@@ -208,70 +219,74 @@
         None
     }
 
-    fn take_first(&self, may_close: impl Fn(&Entry) -> bool) -> Option<Rc<Entry>> {
+    fn remove_first_idle(&self, may_close: impl Fn(&Entry) -> bool) -> Option<Rc<Entry>> {
         let mut idle = self.idle.borrow_mut();
         let key = idle.iter().find(|(_, entry)| may_close(entry)).map(|(key, _)| *key)?;
         idle.remove(&key)
     }
 
-    fn ask_to_close(&self, entry: &Rc<Entry>, reason: CloseReason) {
-        entry.owes_place.set(reason == CloseReason::Place);
-        entry.state.set(State::Asked);
+    fn request_close(&self, entry: &Rc<Entry>, reason: CloseReason) {
+        entry.slot_reserved.set(reason == CloseReason::NewConnection);
+        entry.state.set(State::CloseRequested);
         entry.changed.notify_one();
-        self.asked.borrow_mut().push(entry.clone());
+        self.close_requested.borrow_mut().push(entry.clone());
     }
 
-    /// Has another idle connection give its place for this one, which owes it and whose client is in the middle of something;
-    /// is there one? Clients that never said anything usable close all the same.
-    fn pass_debt(&self, debtor: &Rc<Entry>) -> bool {
-        if !debtor.spoken.get() {
+    /// Moves the reservation of this connection's slot, whose client is in the middle of something, to
+    /// another idle connection, which gets a close request. Returns whether that was done. The slot of a
+    /// client that never sent a usable command stays reserved.
+    fn transfer_reservation(&self, holder: &Rc<Entry>) -> bool {
+        if !holder.has_sent_command.get() {
             return false;
         }
-        remove(&self.owing, debtor);
-        let Some(other) = self.ask_for_place() else {
-            self.owing.borrow_mut().insert(0, debtor.clone());
+        remove_entry(&self.reserved, holder);
+        let Some(other) = self.reserve_slot() else {
+            self.reserved.borrow_mut().insert(0, holder.clone());
             return false;
         };
-        debtor.owes_place.set(false);
-        other.debtor.replace(Rc::downgrade(debtor));
+        holder.slot_reserved.set(false);
+        other.transferred_from.replace(Rc::downgrade(holder));
         true
     }
 
-    /// The place that another was to give for this connection is not given: it owes it again, unless its own is given already.
-    fn take_debt_back(&self, debtor: &Rc<Entry>) -> bool {
-        let state = debtor.state.get();
-        if state == State::Closing || debtor.owes_place.replace(true) {
+    /// Gives a reservation back to the connection that transferred it, because the other one stays open.
+    /// Returns `false` if the connection is closing or its slot has been reserved again meanwhile.
+    fn restore_reservation(&self, holder: &Rc<Entry>) -> bool {
+        let state = holder.state.get();
+        if state == State::Closing || holder.slot_reserved.replace(true) {
             return false;
         }
-        if state == State::Asked {
+        if state == State::CloseRequested {
             return true;
         }
         if let State::Idle(key) = state {
             self.idle.borrow_mut().remove(&key);
         }
-        self.owing.borrow_mut().insert(0, debtor.clone());
-        let passed = self.pass_debt(debtor);
+        self.reserved.borrow_mut().insert(0, holder.clone());
+        let transferred = self.transfer_reservation(holder);
         if let State::Idle(key) = state {
-            self.keep_or_close_later(debtor, key, passed);
+            self.keep_or_schedule_close(holder, key, transferred);
         }
         true
     }
 
-    /// An idle connection stays where another gives its place, or closes once its client had the time to read.
-    fn keep_or_close_later(&self, entry: &Rc<Entry>, key: IdleKey, stays: bool) {
-        if stays {
+    /// Keeps an idle connection open if its reservation was transferred; schedules its close after the grace
+    /// period otherwise.
+    fn keep_or_schedule_close(&self, entry: &Rc<Entry>, key: IdleKey, transferred: bool) {
+        if transferred {
             self.idle.borrow_mut().insert(key, entry.clone());
             return;
         }
-        entry.state.set(State::ClosesAt(entry.read_by()));
+        entry.state.set(State::ClosesAt(entry.grace_ends_at()));
         entry.changed.notify_one();
     }
 
-    /// A connection has closed for reasons of its own: the first that owes its place keeps it.
-    fn forgive_first_owing(&self) {
-        let first = self.owing.borrow().first().cloned();
+    /// Cancels the first reservation, since a connection whose slot was not reserved has closed and freed a
+    /// slot.
+    fn cancel_first_reservation(&self) {
+        let first = self.reserved.borrow().first().cloned();
         if let Some(entry) = first {
-            self.forgive(&entry);
+            self.cancel_reservation(&entry);
             if matches!(entry.state.get(), State::ClosesAt(_)) {
                 self.add_idle(&entry);
                 entry.changed.notify_one();
@@ -279,78 +294,78 @@
         }
     }
 
-    /// A connection owes its place no more.
-    fn forgive(&self, entry: &Rc<Entry>) {
-        entry.owes_place.set(false);
-        remove(&self.owing, entry);
+    /// Cancels the reservation of this connection's slot.
+    fn cancel_reservation(&self, entry: &Rc<Entry>) {
+        entry.slot_reserved.set(false);
+        remove_entry(&self.reserved, entry);
     }
 
     fn add_idle(&self, entry: &Rc<Entry>) {
         let number = self.next_number.get();
         self.next_number.set(number + 1);
-        let key = (entry.spoken.get(), number);
+        let key = (entry.has_sent_command.get(), number);
         entry.state.set(State::Idle(key));
         self.idle.borrow_mut().insert(key, entry.clone());
     }
 }
 
-/// Takes an entry off a list; was it there?
-fn remove(list: &RefCell<Vec<Rc<Entry>>>, entry: &Rc<Entry>) -> bool {
+/// Removes an entry from a list, and returns whether it was there.
+fn remove_entry(list: &RefCell<Vec<Rc<Entry>>>, entry: &Rc<Entry>) -> bool {
     let mut list = list.borrow_mut();
-    let place = list.iter().position(|other| Rc::ptr_eq(other, entry));
-    place.map(|place| list.remove(place)).is_some()
+    let index = list.iter().position(|other| Rc::ptr_eq(other, entry));
+    index.map(|index| list.remove(index)).is_some()
 }
 
 /// What the table knows of a connection.
 struct Entry {
     socket: Rc<dyn SendState>,
     state: Cell<State>,
-    /// Since when it is idle (Unix seconds).
+    /// When it became idle, or sent its last bytes after that (Unix seconds).
     idle_since: Cell<f64>,
-    /// Something usable has come from its client.
-    spoken: Cell<bool>,
-    /// Part of a message has come from its client.
+    /// Its client has sent a usable command.
+    has_sent_command: Cell<bool>,
+    /// An incomplete message has come from its client.
     mid_message: Cell<bool>,
-    /// A new client has its place, and it did not close yet.
-    owes_place: Cell<bool>,
-    /// The connection that owed the place before, and has it given by this one.
-    debtor: RefCell<Weak<Entry>>,
-    /// Its state, or when it is to close, may have changed.
+    /// Its slot is reserved for a new connection, which is open already.
+    slot_reserved: Cell<bool>,
+    /// The connection whose reservation was transferred to this one.
+    transferred_from: RefCell<Weak<Entry>>,
+    /// Wakes its task: its state or the time of its close may have changed.
     changed: Notify,
 }
 
 impl Entry {
-    /// Its last answer may have been sent later than it became idle, to a client that had no room for it before: its client's
-    /// time to read begins then. Was it so?
+    /// Starts the grace period anew if the last answer was sent after the connection became idle, to a client
+    /// that had no room for it before. Returns whether that was so.
     fn postpone_to_last_sent(&self) -> bool {
         let later = self.socket.sent_at().filter(|&at| at > self.idle_since.get());
         later.inspect(|&at| self.idle_since.set(at)).is_some()
     }
 
-    /// Its client has read its last answer by then, if it was sent one (Unix seconds).
-    fn read_by(&self) -> f64 {
-        self.idle_since.get() + if self.spoken.get() { IDLE_GRACE } else { 0.0 }
+    /// Returns when the grace period ends; a client that never sent a usable command has none (Unix seconds).
+    fn grace_ends_at(&self) -> f64 {
+        self.idle_since.get() + if self.has_sent_command.get() { IDLE_GRACE } else { 0.0 }
     }
 }
 
-/// A client connection's place in the table, from its accept until its end.
+/// A client connection's entry in the table, from its accept until its end.
 pub struct ConnectionSlot {
     table: Rc<ConnectionTable>,
     entry: Rc<Entry>,
 }
 
 impl ConnectionSlot {
-    /// A place for a new connection. It is idle from the start, since it may be asked to close before its task runs.
+    /// Adds a new connection, which is idle from the start: it may get a close request before its task runs.
     pub(super) fn new(table: Rc<ConnectionTable>, socket: Rc<dyn SendState>, now: f64) -> Self {
         table.open.set(table.open.get() + 1);
         let entry = Rc::new(Entry {
             socket,
             state: Cell::default(),
             idle_since: Cell::default(),
-            spoken: Cell::default(),
+            has_sent_command: Cell::default(),
             mid_message: Cell::default(),
-            owes_place: Cell::default(),
-            debtor: RefCell::default(),
+            slot_reserved: Cell::default(),
+            transferred_from: RefCell::default(),
             changed: Notify::default(),
         });
         let slot = ConnectionSlot { table, entry };
@@ -358,25 +373,26 @@
         slot
     }
 
-    /// The connection waits for its client, which has sent something usable before, or has not, and may be in the middle of a
-    /// message: nothing is open, and nothing is known to be unsent.
-    pub fn mark_idle(&self, now: f64, spoken: bool, mid_message: bool) {
+    /// Marks the connection as waiting for its client: no request is open, and nothing is known to be unsent.
+    /// `has_sent_command` tells whether the client has ever sent a usable command, `mid_message` whether an
+    /// incomplete message has come.
+    pub fn mark_idle(&self, now: f64, has_sent_command: bool, mid_message: bool) {
         let entry = &self.entry;
         entry.mid_message.set(mid_message);
         if self.is_idle() {
             return;
         }
-        entry.spoken.set(spoken);
+        entry.has_sent_command.set(has_sent_command);
         entry.idle_since.set(now);
-        if entry.owes_place.get() && !self.table.pass_debt(entry) {
-            entry.state.set(State::ClosesAt(entry.read_by()));
+        if entry.slot_reserved.get() && !self.table.transfer_reservation(entry) {
+            entry.state.set(State::ClosesAt(entry.grace_ends_at()));
         } else {
             self.table.add_idle(entry);
         }
     }
 
-    /// Something was read from the client, is owed to it, or is not sent. If it was asked to close, another may do so in its
-    /// stead.
+    /// Marks the connection as active: something was read from it, a request is open, or bytes are unsent. A
+    /// close request is cancelled, and another connection may be closed instead.
     pub fn mark_active(&self) {
         if !self.is_idle() {
             return;
@@ -385,32 +401,34 @@
             State::Idle(key) => {
                 self.table.idle.borrow_mut().remove(&key);
             }
-            State::Asked => self.stay(),
+            State::CloseRequested => self.cancel_close_request(),
             State::ClosesAt(_) | State::Active | State::Closing => {}
         }
     }
 
-    /// The connection was asked to close, and does not. Where a new client has its place, another gives that, or it is owed.
-    fn stay(&self) {
-        remove(&self.table.asked, &self.entry);
-        if self.entry.owes_place.get() && !self.return_debt() {
-            self.table.owing.borrow_mut().push(self.entry.clone());
-            self.table.pass_debt(&self.entry);
+    /// Cancels the close request. If the slot is reserved, the reservation is returned to the connection that
+    /// it came from, transferred to another idle one, or kept until this one is idle again.
+    fn cancel_close_request(&self) {
+        remove_entry(&self.table.close_requested, &self.entry);
+        if self.entry.slot_reserved.get() && !self.return_reservation() {
+            self.table.reserved.borrow_mut().push(self.entry.clone());
+            self.table.transfer_reservation(&self.entry);
         }
-        self.table.places_changed.notify_one();
+        self.table.slots_changed.notify_one();
     }
 
-    /// Gives the debt back to the connection that passed it on, if that can have it.
-    fn return_debt(&self) -> bool {
-        let debtor = self.entry.debtor.take().upgrade();
-        let returned = debtor.is_some_and(|debtor| self.table.take_debt_back(&debtor));
+    /// Returns the reservation to the connection that transferred it, if that one is still open and its slot
+    /// is not reserved again. Returns whether that was done.
+    fn return_reservation(&self) -> bool {
+        let holder = self.entry.transferred_from.take().upgrade();
+        let returned = holder.is_some_and(|holder| self.table.restore_reservation(&holder));
         if returned {
-            self.entry.owes_place.set(false);
+            self.entry.slot_reserved.set(false);
         }
         returned
     }
 
-    /// The connection closes now: its place is free from now on.
+    /// Marks the connection as closing, which frees its slot.
     pub fn begin_close(&self) {
         let entry = &self.entry;
         let before = entry.state.replace(State::Closing);
@@ -420,82 +438,84 @@
         if let State::Idle(key) = before {
             self.table.idle.borrow_mut().remove(&key);
         }
-        let asked = remove(&self.table.asked, entry);
-        if entry.owes_place.get() {
-            self.table.forgive(entry);
-        } else if !asked {
-            self.table.forgive_first_owing();
+        let close_requested = remove_entry(&self.table.close_requested, entry);
+        if entry.slot_reserved.get() {
+            self.table.cancel_reservation(entry);
+        } else if !close_requested {
+            self.table.cancel_first_reservation();
         }
         self.table.closing.set(self.table.closing.get() + 1);
-        self.table.places_changed.notify_one();
+        self.table.slots_changed.notify_one();
     }
 
-    /// Is the connection idle, as far as is known?
+    /// Returns whether the connection is idle, as far as is known without asking the system.
     pub fn is_idle(&self) -> bool {
-        matches!(self.entry.state.get(), State::Idle(_) | State::Asked | State::ClosesAt(_))
+        matches!(self.entry.state.get(), State::Idle(_) | State::CloseRequested | State::ClosesAt(_))
     }
 
-    /// When the idle connection is to close, if it is asked to (Unix seconds).
+    /// Returns when the idle connection is to close, if it is to (Unix seconds).
     pub fn closes_at(&self) -> Option<f64> {
-        let asked = match self.entry.state.get() {
+        let requested = match self.entry.state.get() {
             State::Active | State::Closing => return None,
             State::Idle(_) => f64::INFINITY,
-            State::Asked => self.entry.idle_since.get(),
+            State::CloseRequested => self.entry.idle_since.get(),
             State::ClosesAt(at) => at,
         };
         let all = match self.table.close_all.get() {
             CloseAll::No => f64::INFINITY,
-            CloseAll::AfterReading => self.entry.read_by(),
-            CloseAll::Immediately | CloseAll::BehindAnswers => self.entry.idle_since.get(),
+            CloseAll::AfterGrace => self.entry.grace_ends_at(),
+            CloseAll::AfterDelivery | CloseAll::AfterSend => self.entry.idle_since.get(),
         };
-        Some(asked.min(all)).filter(|at| at.is_finite())
+        Some(requested.min(all)).filter(|at| at.is_finite())
     }
 
-    /// The system told when it last sent something: if that was later than the connection became idle, it is idle since then,
-    /// and is to close later. Was it so?
+    /// Counts the connection as idle only since its last bytes were sent, if the system told that this was
+    /// later; a scheduled close is postponed accordingly. Returns whether it was later.
     pub fn postpone_to_last_sent(&self) -> bool {
         let postponed = self.entry.postpone_to_last_sent();
         if let State::ClosesAt(_) = self.entry.state.get() {
-            self.entry.state.set(State::ClosesAt(self.entry.read_by()));
+            self.entry.state.set(State::ClosesAt(self.entry.grace_ends_at()));
         }
         postponed
     }
 
-    /// Since when the connection is idle, if it is (Unix seconds).
+    /// Returns since when the connection is idle, if it is (Unix seconds).
     pub fn idle_since(&self) -> f64 {
         self.entry.idle_since.get()
     }
 
-    /// Waits until what the table holds of the connection may have changed: whether it is idle and since when, or when it is to
-    /// close.
+    /// Waits until the connection's entry may have changed: whether and since when it is idle, or when it is
+    /// to close.
     pub async fn changed(&self) {
         self.entry.changed.notified().await;
     }
 
-    /// Are all connections to close as soon as they are idle?
+    /// Returns whether all connections are to close as soon as they are idle.
     pub fn is_closing_all(&self) -> bool {
         self.table.is_closing_all()
     }
 
-    /// Is the connection to close right behind its last answer?
-    pub fn closes_behind_answers(&self) -> bool {
-        self.table.close_all.get() == CloseAll::BehindAnswers
+    /// Returns whether the connection is to close once its last answer is sent, without waiting for an
+    /// acknowledgement.
+    pub fn closes_after_send(&self) -> bool {
+        self.table.close_all.get() == CloseAll::AfterSend
     }
 
-    /// Is something that was written known to be unsent, or without room at the client? Once all connections close, the
-    /// client's time to read its last answer begins as that is sent, so that the system is asked.
-    pub fn is_unsent(&self) -> bool {
+    /// Returns whether bytes that were written are known to be unsent or without room at the client. Once all
+    /// connections close, the system is asked, since the grace period begins when the last answer is sent.
+    pub fn is_send_blocked(&self) -> bool {
         match self.is_closing_all() {
             true => self.entry.socket.delivery().is_blocked(),
             false => self.entry.socket.is_known_unsent(),
         }
     }
 
-    /// A permit to wait, after this side was shut, for the client to close too. `None` where so many do that they would take
-    /// the place of others; once all close, no others are to come.
-    pub fn linger(&self) -> Option<LingerPermit> {
+    /// Returns a permit to wait, after the write side was shut, for the client to close too; `None` if the
+    /// limit of lingering connections is reached. There is no limit once all connections close, since no new
+    /// ones come.
+    pub fn linger_permit(&self) -> Option<LingerPermit> {
         let lingering = self.table.lingering.get();
-        (self.is_closing_all() || lingering < self.table.extra_most).then(|| {
+        (self.is_closing_all() || lingering < self.table.max_extra).then(|| {
             self.table.lingering.set(lingering + 1);
             LingerPermit(self.table.clone())
         })
@@ -511,7 +531,7 @@
     }
 }
 
-/// Permission to linger; given back when it is dropped.
+/// Permission for one connection to linger, returned when it is dropped.
 pub struct LingerPermit(Rc<ConnectionTable>);
 
 impl Drop for LingerPermit {
--- a/src/net/coordinator.rs
+++ b/src/net/coordinator.rs
@@ -1,8 +1,9 @@
-//! The coordinator's feed: connects, tells the last number it has, hands each event to the broker in order,
-//! and connects again after a gap, a broken frame or silence. Events come by no other way.
+//! The coordinator's feed: connects, sends the number of the last event it has, passes each event to the
+//! broker in order, and reconnects after a gap, an invalid frame or a heartbeat timeout. Where a coordinator
+//! is configured, events come by no other way.
 
 use super::frames::{self, Frame};
-use super::{Buffer, Live, Unreadable};
+use super::{Buffer, ProtocolError, Reloadable};
 use crate::broker::News;
 use crate::memory::{AccountOwner, Ledger, Purpose};
 use crate::{clock, log};
@@ -14,153 +15,164 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep_until, timeout_at};
 
-/// While a connection is not up, another is tried beside it so much later, and so many wait at most (seconds, count): what
-/// was sent to a machine before it came back is not sent again for a second, and one that is slow to take connections
-/// takes one in the end.
-const ANOTHER: (f64, usize) = (0.35, 4);
-/// An empty frame comes each second; without any whole frame for so long the connection is dead (seconds). What the
-/// coordinator has to tell counts as told 7 s after it came up: three silent connections in a row are left before that.
-const SILENT_AFTER: f64 = 1.75;
-/// Mean pause before connecting again (seconds), longer after each failure up to the second. With the chance in it, a
-/// coordinator that is back is heard within a second.
-const PAUSE: (f64, f64) = (0.05, 0.4);
-
-/// When to connect again. A coordinator that ends cuts all fronts at the same instant: each comes back at one of its own.
+/// Interval at which another connection is tried beside those that are being established (seconds): TCP
+/// repeats a SYN to a machine that was down only after a second.
+const CONNECT_INTERVAL: f64 = 0.35;
+/// Limit of connections being established at once; each is given up after this many intervals, so that a
+/// coordinator that is slow to accept still gets one through.
+const MAX_CONNECTS: usize = 4;
+/// A connection without a complete frame for this long is dead (seconds); a heartbeat comes each second.
+/// Events count as delivered 7 s after they arise: three connections that stall one after the other are given
+/// up before that.
+const HEARTBEAT_TIMEOUT: f64 = 1.75;
+/// Mean delay before reconnecting after a session that brought events (seconds).
+const MIN_BACKOFF: f64 = 0.05;
+/// Largest mean delay, after sessions that brought none (seconds). Even with jitter, a coordinator that is
+/// back is reached within a second.
+const MAX_BACKOFF: f64 = 0.4;
+
+/// Exponential backoff with jitter: a coordinator that ends cuts the connections of all fronts at the same
+/// moment, and they must not all reconnect together.
 struct Backoff {
+    /// Mean of the last delay (seconds).
     mean: f64,
     random: fastrand::Rng,
 }
 
 impl Backoff {
     fn new(seed: u64) -> Self {
-        Backoff { mean: PAUSE.0, random: fastrand::Rng::with_seed(seed) }
+        Backoff { mean: MIN_BACKOFF, random: fastrand::Rng::with_seed(seed) }
     }
 
-    /// Another coordinator is asked: nothing is held against it.
+    /// Starts anew, for another coordinator.
     fn reset(&mut self) {
-        self.mean = PAUSE.0;
+        self.mean = MIN_BACKOFF;
     }
 
-    /// The pause after a session that brought something, or that did not (seconds).
-    fn pause(&mut self, brought: bool) -> f64 {
-        self.mean = if brought { PAUSE.0 } else { (2.0 * self.mean).min(PAUSE.1) };
+    /// Returns the delay after a session; `made_progress` tells whether it brought events (seconds).
+    fn next_delay(&mut self, made_progress: bool) -> f64 {
+        self.mean = if made_progress { MIN_BACKOFF } else { (2.0 * self.mean).min(MAX_BACKOFF) };
         self.mean * (0.5 + self.random.f64())
     }
 }
 
-/// What is read of the feed at once (bytes).
-const OWN: usize = 16 * 1024;
+/// Size of the read buffer (bytes).
+const READ_BUFFER_BYTES: usize = 16 * 1024;
 
 /// What to do with a frame.
 #[derive(Debug, PartialEq)]
-pub enum Step {
-    /// Hand it on.
-    Take(News),
-    /// It was had before, or holds nothing.
+pub enum FrameAction {
+    /// Pass the event to the broker.
+    Deliver(News),
+    /// Ignore it: the event was delivered before, or the frame is a heartbeat.
     Skip,
-    /// Something before it is missing: ask again from the last number.
-    Resume,
+    /// An event before it is missing: reconnect, and request the events after the last number.
+    Reconnect,
 }
 
-/// Where the feed stands: the last number had, and whether a gap was met at that number before.
+/// The position in the feed: the number of the last event, and whether there was a gap after it.
 #[derive(Debug, Default)]
-pub struct Feed {
-    /// Number of the last event that was handed on.
-    pub last: u64,
+pub struct FeedPosition {
+    /// Number of the last event that was delivered.
+    pub last_number: u64,
+    /// The last session ended at a gap after that event.
     gap: bool,
 }
 
-impl Feed {
-    /// A feed that goes on after `last`.
-    pub fn new(last: u64) -> Self {
-        Feed { last, gap: false }
+impl FeedPosition {
+    /// The position after the event `last_number`.
+    pub fn new(last_number: u64) -> Self {
+        FeedPosition { last_number, gap: false }
     }
 
-    /// Another coordinator is asked from now on: what the old one had forgotten it may still have.
-    pub fn moved(&mut self) {
+    /// Notes that another coordinator is followed from now on, which may still have the events in a gap.
+    pub fn change_coordinator(&mut self) {
         self.gap = false;
     }
 
-    /// Judges a frame. Guards against a lost frame (a purge or a drain never heard of) and against one that
-    /// comes twice after a reconnect. A gap that is still there when asked again from the last number will
-    /// not close: the coordinator has forgotten what lay in it, and what it does have is taken.
-    pub fn judge(&mut self, number: u64, frame: Frame) -> Step {
+    /// Decides about a frame, and advances past an event that is delivered. Guards against a missed event (a
+    /// purge or a drain) and against one that comes twice after a reconnect. A gap that is still there after
+    /// a reconnect is permanent, since the coordinator no longer has the events in it: those that it has are
+    /// delivered.
+    pub fn advance(&mut self, number: u64, frame: Frame) -> FrameAction {
         match frame {
-            Frame::Idle if number <= self.last || self.gap => Step::Skip,
-            Frame::News(_) if number <= self.last => Step::Skip,
-            Frame::News(news) if number == self.last + 1 || self.gap => {
-                (self.last, self.gap) = (number, false);
-                Step::Take(news)
+            Frame::Idle if number <= self.last_number || self.gap => FrameAction::Skip,
+            Frame::News(_) if number <= self.last_number => FrameAction::Skip,
+            Frame::News(news) if number == self.last_number + 1 || self.gap => {
+                (self.last_number, self.gap) = (number, false);
+                FrameAction::Deliver(news)
             }
             _ => {
                 self.gap = true;
-                Step::Resume
+                FrameAction::Reconnect
             }
         }
     }
 }
 
-/// Follows the coordinator for ever, also to another address: from the last number had, so that no event is
-/// missed or heard twice. A session that the change cuts hands on an event at once or not at all.
+/// Follows the coordinator until the broker ends, also across changes of its address: each session resumes
+/// after the last event, so that none is missed or delivered twice. A session that is cut by a change of
+/// address has delivered an event completely or not at all.
 pub async fn follow(
-    address: Rc<Live<SocketAddr>>,
+    address: Rc<Reloadable<SocketAddr>>,
     last: u64,
     seed: u64,
     news: UnboundedSender<News>,
     memory: Ledger,
 ) {
-    let mut feed = Feed::new(last);
+    let mut feed = FeedPosition::new(last);
     let mut backoff = Backoff::new(seed);
     loop {
-        let (before, now) = (feed.last, address.get());
-        let why = tokio::select! {
+        let (last_before, server) = (feed.last_number, address.get());
+        let reason = tokio::select! {
             biased;
             () = address.changed() => None,
-            ended = session(now, &mut feed, &news, &memory) => Some(match ended {
-                Ok(why) => why.to_owned(),
+            ended = session(server, &mut feed, &news, &memory) => Some(match ended {
+                Ok(reason) => reason.to_owned(),
                 Err(e) => e.to_string(),
             }),
         };
         if news.is_closed() {
             return;
         }
-        let Some(why) = why else {
-            feed.moved();
+        let Some(reason) = reason else {
+            feed.change_coordinator();
             backoff.reset();
-            log!("coordinator {} is followed from {}, no longer {now}", address.get(), feed.last);
+            let last_number = feed.last_number;
+            log!("coordinator {} replaces {server}; resuming after event {last_number}", address.get());
             continue;
         };
-        log!("coordinator {now}: {why}; again from {}", feed.last);
-        let pause = backoff.pause(feed.last > before);
+        log!("coordinator {server}: {reason}; reconnecting after event {}", feed.last_number);
+        let delay = backoff.next_delay(feed.last_number > last_before);
         tokio::select! {
             biased;
             () = address.changed() => {
-                feed.moved();
+                feed.change_coordinator();
                 backoff.reset();
             }
-            () = sleep_until(clock::instant(clock::now() + pause)) => {}
+            () = sleep_until(clock::instant(clock::now() + delay)) => {}
         }
     }
 }
 
-/// The first connection to come up, or to be refused, of those tried beside each other.
+/// Returns the first connection to be established, or to be refused, of several attempts at once.
 async fn connect(address: SocketAddr) -> std::io::Result<TcpStream> {
-    let within = ANOTHER.0 * ANOTHER.1 as f64;
-    let (mut tried, mut next_at, mut told) = (JoinSet::new(), clock::now(), false);
+    let timeout = CONNECT_INTERVAL * MAX_CONNECTS as f64;
+    let (mut attempts, mut next_at, mut timeout_logged) = (JoinSet::new(), clock::now(), false);
     loop {
         let now = clock::now();
         if now >= next_at {
-            next_at = now + ANOTHER.0;
-            tried.spawn_local(timeout_at(clock::instant(now + within), TcpStream::connect(address)));
+            next_at = now + CONNECT_INTERVAL;
+            attempts.spawn_local(timeout_at(clock::instant(now + timeout), TcpStream::connect(address)));
         }
         tokio::select! {
             biased;
-            Some(ended) = tried.join_next() => match ended {
-                Ok(Ok(answered)) => return answered,
-                Ok(Err(_)) if told => {}
+            Some(ended) = attempts.join_next() => match ended {
+                Ok(Ok(result)) => return result,
+                Ok(Err(_)) if timeout_logged => {}
                 Ok(Err(_)) => {
-                    told = true;
-                    log!("coordinator {address}: no connection in {within} s; tried on");
+                    timeout_logged = true;
+                    log!("coordinator {address}: no connection in {timeout} s; still trying");
                 }
                 Err(e) => return Err(std::io::Error::other(e)),
             },
@@ -169,22 +181,23 @@
     }
 }
 
-/// One connection, until it fails; says why.
+/// Serves one connection until it ends, and returns the reason.
 async fn session(
     address: SocketAddr,
-    feed: &mut Feed,
+    feed: &mut FeedPosition,
     news: &UnboundedSender<News>,
     memory: &Ledger,
 ) -> std::io::Result<&'static str> {
     let mut stream = connect(address).await?;
     stream.set_nodelay(true)?;
-    stream.write_all(&feed.last.to_be_bytes()).await?;
-    // News are more precious than anything they could push out: no list or purge is missed for want of memory.
-    let holder = AccountOwner { precious: true, ..AccountOwner::of(Purpose::Learned) };
-    let mut buffer = Buffer::new(OWN, memory.empty(holder));
-    let mut silent_at = clock::instant(clock::now() + SILENT_AFTER);
+    stream.write_all(&feed.last_number.to_be_bytes()).await?;
+    // Events matter more than any other use of the reserve: no list or purge may be missed for lack of
+    // memory.
+    let owner = AccountOwner { precious: true, ..AccountOwner::of(Purpose::Learned) };
+    let mut buffer = Buffer::new(READ_BUFFER_BYTES, memory.empty(owner));
+    let mut dead_at = clock::instant(clock::now() + HEARTBEAT_TIMEOUT);
     loop {
-        let Ok(ready) = timeout_at(silent_at, stream.readable()).await else { return Ok("silence") };
+        let Ok(ready) = timeout_at(dead_at, stream.readable()).await else { return Ok("heartbeat timeout") };
         ready?;
         match buffer.read_from(&stream) {
             Ok(0) => return Ok("connection closed"),
@@ -196,18 +209,18 @@
             let (number, frame, used) = match frames::parse(buffer.bytes()) {
                 Ok(Some(frame)) => frame,
                 Ok(None) => break,
-                Err(Unreadable(why)) => return Ok(why),
+                Err(ProtocolError(reason)) => return Ok(reason),
             };
             buffer.consume(used);
-            silent_at = clock::instant(clock::now() + SILENT_AFTER);
-            match feed.judge(number, frame) {
-                Step::Take(event) => {
+            dead_at = clock::instant(clock::now() + HEARTBEAT_TIMEOUT);
+            match feed.advance(number, frame) {
+                FrameAction::Deliver(event) => {
                     if news.send(event).is_err() {
                         return Ok("the broker has ended");
                     }
                 }
-                Step::Skip => {}
-                Step::Resume => return Ok("a gap in the numbers"),
+                FrameAction::Skip => {}
+                FrameAction::Reconnect => return Ok("a gap in the event numbers"),
             }
         }
     }
--- a/src/net/lines.rs
+++ b/src/net/lines.rs
@@ -1,40 +1,40 @@
-//! The line protocol of cache nodes: words ending in CR LF, and after a length so many bytes more. Parsing
-//! and writing only.
+//! The line protocol of cache nodes: lines of words that end in CR LF; a line may announce the length of a
+//! body that follows it. Only parsing and writing.
 
-use super::{Buffer, Unreadable};
+use super::{Buffer, ProtocolError};
 use crate::broker::Order;
 use crate::interface::{Note, Outcome};
 
-/// Longest line of an answer.
-const LINE: usize = 4096;
-/// Most bytes of an object (240,000), and a little over.
-pub const LARGEST: usize = 256 * 1024;
+/// Longest line of an answer (bytes).
+const MAX_LINE_BYTES: usize = 4096;
+/// Largest body of an answer (bytes); objects have up to 240,000.
+pub const MAX_BODY_BYTES: usize = 256 * 1024;
 
 /// A cache node's answer.
 #[derive(Debug, PartialEq)]
-pub struct Answer<'a> {
+pub struct NodeAnswer<'a> {
     /// The id of the request, as it was sent.
     pub id: &'a str,
-    /// How it ended; `None` for a word that is unknown here.
+    /// The outcome; `None` if the answer's word is unknown.
     pub outcome: Option<Outcome>,
-    /// The client's copy is the one.
+    /// The client's copy is still valid.
     pub valid: bool,
-    /// Where the content came from, or why not.
+    /// Where the content came from, or why there is none.
     pub note: Note,
-    /// Seconds that the node waited for the source.
+    /// Time that the node waited for its source (seconds).
     pub source_wait: f64,
-    /// The tag of the copy.
+    /// The entity tag of the copy.
     pub etag: &'a str,
-    /// When the origin gave the copy out, Unix milliseconds.
+    /// When the origin sent the copy (Unix milliseconds).
     pub made: Option<u64>,
-    /// The bytes.
+    /// The body.
     pub body: &'a [u8],
 }
 
-/// Writes `serve` for an order, of which the node may take until `patience_ms` from now; nothing at all if there is
-/// no memory for it.
+/// Writes the command `serve` for an order, for which the node has `patience_ms` from now on. Returns `false`
+/// and writes nothing if there is no memory for it.
 #[must_use]
-pub fn serve(out: &mut Buffer, order: &Order, patience_ms: u64) -> bool {
+pub fn write_serve(out: &mut Buffer, order: &Order, patience_ms: u64) -> bool {
     use std::fmt::Write;
     let ask = &order.ask;
     let mut line = String::with_capacity(160);
@@ -50,16 +50,17 @@
         let _ = write!(line, ",keep={}", order.rank);
     }
     if order.age > 0.0 {
-        // Rounded down: a copy of exactly the limit may be told by another clock. 0 would mean no limit.
+        // Rounded down, since the node may judge a copy of exactly this age by another clock. 0 would mean no
+        // limit.
         let _ = write!(line, ",maxage={}", ((order.age * 1000.0) as u64).max(1));
     }
     let o = order.options;
     let flags =
         [(o.join, "merge"), (o.held_only, "local"), (o.no_parent_copy, "skip"), (o.renew, "revalidate")];
-    let mut mark = ",flags=";
+    let mut separator = ",flags=";
     for (_, word) in flags.iter().filter(|f| f.0) {
-        let _ = write!(line, "{mark}{word}");
-        mark = "+";
+        let _ = write!(line, "{separator}{word}");
+        separator = "+";
     }
     if let Some(have) = &ask.have {
         let _ = write!(line, ",have={have}");
@@ -69,52 +70,52 @@
     fits && out.push(line.as_bytes()) && out.push(&ask.body) && out.push(b"\r\n")
 }
 
-/// Writes `cancel`; not if there is no memory for it.
+/// Writes the command `cancel`. Returns `false` if there is no memory for it.
 #[must_use]
-pub fn cancel(out: &mut Buffer, id: &str) -> bool {
+pub fn write_cancel(out: &mut Buffer, id: &str) -> bool {
     out.push(format!("cancel {id}\r\n").as_bytes())
 }
 
-/// An answer's line: all that it says before its bytes come.
+/// The line of an answer, which precedes its body.
 #[derive(Debug, PartialEq)]
-pub struct Head<'a> {
-    /// The answer, without bytes.
-    pub answer: Answer<'a>,
-    /// Bytes of the line.
+pub struct AnswerHead<'a> {
+    /// The answer, with an empty body.
+    pub answer: NodeAnswer<'a>,
+    /// Length of the line with its terminator (bytes).
     pub line: usize,
-    /// Bytes that follow, without the end of line behind them; `None` where nothing follows.
+    /// Length of the body without the line terminator behind it (bytes); `None` if no body follows.
     pub length: Option<usize>,
 }
 
-impl Head<'_> {
-    /// How long the whole answer is.
+impl AnswerHead<'_> {
+    /// Returns the length of the whole answer (bytes).
     pub fn total(&self) -> usize {
         self.line + self.length.map_or(0, |length| length + 2)
     }
 }
 
-/// Reads the line of an answer off the head of `bytes`; `None` while it is not whole. What is wrong with an
-/// answer is told from its line, so that none of its bytes needs to be held.
-pub fn head(bytes: &[u8]) -> Result<Option<Head<'_>>, Unreadable> {
-    let Some(end) = bytes.iter().take(LINE).position(|&b| b == b'\n') else {
-        return if bytes.len() >= LINE { Err(Unreadable("an overlong line")) } else { Ok(None) };
+/// Parses the line of an answer at the start of `bytes`; `None` while it is incomplete. An invalid answer is
+/// recognised by its line, so that none of its body needs to be buffered.
+pub fn parse_head(bytes: &[u8]) -> Result<Option<AnswerHead<'_>>, ProtocolError> {
+    let Some(end) = bytes.iter().take(MAX_LINE_BYTES).position(|&b| b == b'\n') else {
+        return if bytes.len() >= MAX_LINE_BYTES { Err(ProtocolError("an overlong line")) } else { Ok(None) };
     };
-    let line = bytes[..end].strip_suffix(b"\r").ok_or(Unreadable("a line without CR"))?;
-    let line = std::str::from_utf8(line).map_err(|_| Unreadable("a line that is no text"))?;
+    let line = bytes[..end].strip_suffix(b"\r").ok_or(ProtocolError("a line without CR"))?;
+    let line = std::str::from_utf8(line).map_err(|_| ProtocolError("a line that is not UTF-8"))?;
     let mut words = line.split(' ');
     let (Some(id), Some(word)) = (words.next(), words.next()) else {
-        return Err(Unreadable("a line without a word"));
+        return Err(ProtocolError("a line without an outcome"));
     };
     let fields = words.next().unwrap_or("-");
     let length = words.next();
     if words.next().is_some() {
-        return Err(Unreadable("a line with too many words"));
+        return Err(ProtocolError("a line with too many words"));
     }
     let length = match length {
         None => None,
         Some(digits) => {
-            let length = super::number(digits.as_bytes()).filter(|&n| n <= LARGEST as u64);
-            Some(length.ok_or(Unreadable("a length that is none, or too large"))? as usize)
+            let length = super::parse_u64(digits.as_bytes()).filter(|&n| n <= MAX_BODY_BYTES as u64);
+            Some(length.ok_or(ProtocolError("an invalid or oversized length"))? as usize)
         }
     };
     let outcome = match word {
@@ -127,34 +128,35 @@
     };
     let valid = word == "VALID";
     let (note, source_wait, etag, made) = (Note::None, 0.0, "", None);
-    let mut answer = Answer { id, outcome, valid, note, source_wait, etag, made, body: &[] };
+    let mut answer = NodeAnswer { id, outcome, valid, note, source_wait, etag, made, body: &[] };
     for (name, value) in fields.split(',').filter_map(|f| f.split_once('=')) {
         match name {
-            "n" => answer.note = note_of(value),
-            "ttfb" => answer.source_wait = super::amount(value.as_bytes()).unwrap_or(0.0) / 1000.0,
+            "n" => answer.note = parse_note(value),
+            "ttfb" => answer.source_wait = super::parse_non_negative(value.as_bytes()).unwrap_or(0.0) / 1000.0,
             "etag" => answer.etag = value,
-            "made" => answer.made = super::number(value.as_bytes()),
+            "made" => answer.made = super::parse_u64(value.as_bytes()),
             _ => {}
         }
     }
-    // Guards against a spoilt answer that would pass for served.
+    // Guards against an invalid answer that would count as served.
     match word {
-        "HIT" if length.is_none() => Err(Unreadable("a hit without its length")),
-        "VALID" if length.unwrap_or(0) > 0 => Err(Unreadable("a valid copy with bytes")),
-        _ => Ok(Some(Head { answer, line: end + 1, length })),
+        "HIT" if length.is_none() => Err(ProtocolError("a hit without its length")),
+        "VALID" if length.unwrap_or(0) > 0 => Err(ProtocolError("a valid copy with bytes")),
+        _ => Ok(Some(AnswerHead { answer, line: end + 1, length })),
     }
 }
 
-/// Reads one answer off the head of `bytes`, and how long it was; `None` while it is not whole.
-pub fn parse(bytes: &[u8]) -> Result<Option<(Answer<'_>, usize)>, Unreadable> {
-    let Some(Head { mut answer, line, length }) = head(bytes)? else { return Ok(None) };
+/// Parses one answer at the start of `bytes`, and returns it with its length (bytes); `None` while it is
+/// incomplete.
+pub fn parse(bytes: &[u8]) -> Result<Option<(NodeAnswer<'_>, usize)>, ProtocolError> {
+    let Some(AnswerHead { mut answer, line, length }) = parse_head(bytes)? else { return Ok(None) };
     let Some(length) = length else { return Ok(Some((answer, line))) };
     let Some(rest) = bytes.get(line..line + length + 2) else { return Ok(None) };
-    answer.body = rest.strip_suffix(b"\r\n").ok_or(Unreadable("bytes that do not end where they should"))?;
+    answer.body = rest.strip_suffix(b"\r\n").ok_or(ProtocolError("a body without its line terminator"))?;
     Ok(Some((answer, line + length + 2)))
 }
 
-fn note_of(word: &str) -> Note {
+fn parse_note(word: &str) -> Note {
     match word {
         "TCP_HIT" => Note::Hit,
         "TCP_MISS" => Note::Filled,
--- a/src/net/listener.rs
+++ b/src/net/listener.rs
@@ -1,7 +1,8 @@
-//! Listening for clients, beside another process of the same front too, and accepting them: a task for each connection.
+//! Listening for clients, also beside another process of the same front, and accepting them: one task per
+//! connection.
 
 use super::ClientSocket;
-use super::connection_memory::{ConnectionMemory, MEMORY_RETRY_INTERVAL, RELIEF_INTERVAL};
+use super::connection_memory::{ConnectionMemory, EVICTION_INTERVAL, MEMORY_RETRY_INTERVAL};
 use super::connections::{ConnectionSlot, ConnectionTable};
 use crate::memory::{Grant, Ledger};
 use crate::turns::{TaskKind, measured};
@@ -16,231 +17,238 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep_until;
 
-/// After a failed accept (too many descriptors, say) the next is tried this much later (seconds).
-const ACCEPT_PAUSE: f64 = 0.01;
-/// Connections that the system holds for a listener before they are accepted.
+/// Delay after a failed accept, for example for lack of descriptors (seconds).
+const ACCEPT_RETRY_DELAY: f64 = 0.01;
+/// Limit of connections that the system queues for a listener (listen(2)).
 const BACKLOG: u32 = 1024;
-/// One in so many connections may linger, and one in so many may be about to give its place, beside those that are served.
-const EXTRA_SHARE: usize = 8;
-/// The place that no listener has: any of them gets a connection, by its hash.
+/// Beside the connections that are served, one in this many may linger, and one in this many may hold a
+/// reserved slot.
+const EXTRA_DIVISOR: usize = 8;
+/// An index that no listener has: the system chooses a listener by the connection's hash.
 const ANY_BY_HASH: u32 = u32::MAX;
-/// The places of two listeners, in the order in which they came.
+/// Index of the listener that was bound first.
 const OLDEST: u32 = 0;
+/// Index of the listener that was bound second.
 const YOUNGEST_OF_TWO: u32 = 1;
-/// So long after the successor's listener was given all that is new, what was in its handshake has come (seconds).
-const HANDSHAKE: f64 = 0.05;
+/// Time for handshakes that began at this listener to complete, after new connections were directed to the
+/// successor's (seconds).
+const HANDSHAKE_TIME: f64 = 0.05;
 
-/// A connection as it is accepted, with its client's address.
+/// An accepted connection with its client's address.
 type Accepted = (TcpStream, SocketAddr);
 
-/// Listens for clients at an address that a second process of the same front may listen at too (SO_REUSEPORT). While both
-/// do, the system gives every connection to the one that came first, until that hands over ([`prefer_youngest`]) or is gone:
-/// a second process that is ended while the first still serves has no clients, and loses none.
+/// Listens for clients at an address at which a second process of the same front may listen too
+/// (SO_REUSEPORT). While both do, the system gives every connection to the first process until that hands
+/// over ([`prefer_youngest`]) or ends. A second process that ends while the first one still serves has no
+/// clients, and loses none.
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     socket.set_reuseaddr(true)?;
     socket.set_reuseport(true)?;
     socket.bind(address)?;
     let listener = socket.listen(BACKLOG)?;
-    // What a process that closed here before has left at the address no longer counts.
+    // Replaces the filter that an earlier process may have left at the address.
     let _ = steer_to(&listener, OLDEST);
     Ok(listener)
 }
 
-/// Has the system give each new connection at the listener's address to any of those that share it, by its hash: for
+/// Lets the system distribute new connections over the listeners that share the address, by hash: for
 /// processes that cannot tell one another when to hand over.
 pub fn share_by_hash(listener: &TcpListener) {
     let _ = steer_to(listener, ANY_BY_HASH);
 }
 
-/// Has the system give each new connection at the listener's address to the younger of two that share it; one that is alone
-/// is given them all.
+/// Lets the system give each new connection to the younger of two listeners that share the address; a single
+/// listener gets them all.
 pub fn prefer_youngest(listener: &TcpListener) {
     if let Err(e) = steer_to(listener, YOUNGEST_OF_TWO) {
-        log!("the newest process is not given every new client at once: {e}");
+        log!("cannot direct new connections to the newest process: {e}");
     }
 }
 
-/// Has the system give each new connection at a shared address to the listener of this place, in the order in which
-/// they came; with no listener at that place, to any. One instruction of the classic packet filter, `ret place`
-/// (SO_ATTACH_REUSEPORT_CBPF, socket(7)); where the system refuses it, all stays as it was.
-fn steer_to(listener: &TcpListener, place: u32) -> nix::Result<()> {
+/// Lets the system give each new connection at a shared address to the listener with this index, in the order
+/// in which they were bound; if there is none, to any. The classic packet filter has a single instruction,
+/// `ret index` (SO_ATTACH_REUSEPORT_CBPF, socket(7)); if the system rejects it, nothing changes.
+fn steer_to(listener: &TcpListener, index: u32) -> nix::Result<()> {
     use nix::libc::{BPF_K, BPF_RET, sock_filter, sock_fprog};
-    let mut program = [sock_filter { code: (BPF_RET | BPF_K) as u16, jt: 0, jf: 0, k: place }];
+    let mut program = [sock_filter { code: (BPF_RET | BPF_K) as u16, jt: 0, jf: 0, k: index }];
     let program = sock_fprog { len: 1, filter: program.as_mut_ptr() };
     nix::sys::socket::setsockopt(listener, nix::sys::socket::sockopt::AttachReusePortCbpf, &program)
 }
 
-/// Does a front take clients?
+/// The stages in which a front stops taking clients.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
-enum Accepting {
-    /// It does.
+enum AcceptStage {
+    /// The front takes clients.
     #[default]
-    Yes,
-    /// Another process of the front does. Requests may still come on open connections.
+    Open,
+    /// Another process of the front takes new clients. Requests may still come on open connections.
     HandedOver,
-    /// It does not, and nothing more is to come on open connections.
-    No,
-    /// All that was taken is answered, and what still comes on open connections is refused.
+    /// No clients are taken, and no requests are expected on open connections.
+    Closed,
+    /// All accepted requests are answered, and those that still come on open connections are refused.
     Ended,
 }
 
-/// Whether a front takes clients. When it no longer does, the listener is closed once what waits at it is accepted, and
-/// client connections close once they are idle.
+/// Whether a front takes clients. When it no longer does, the listener is closed once its queue is accepted,
+/// and client connections close once they are idle.
 #[derive(Default)]
 pub struct ListenerState {
-    accepting: Cell<Accepting>,
+    stage: Cell<AcceptStage>,
     has_successor: Cell<bool>,
     changed: Notify,
 }
 
 impl ListenerState {
-    /// A front that takes clients.
+    /// The state of a front that takes clients.
     pub fn new() -> Rc<Self> {
         Rc::default()
     }
 
-    /// A younger process of the front takes its clients.
+    /// Hands new clients over to a younger process of the front.
     pub fn hand_over(&self) {
         self.has_successor.set(true);
-        self.set(Accepting::HandedOver);
+        self.set(AcceptStage::HandedOver);
     }
 
-    /// The front takes no more clients, and no more requests come on open connections.
+    /// Takes no more clients; no more requests are expected on open connections.
     pub fn close(&self) {
-        self.set(Accepting::No);
+        self.set(AcceptStage::Closed);
     }
 
-    /// All that was taken is answered, and what still comes on open connections is refused.
+    /// Ends service: all accepted requests are answered, and those that still come on open connections are
+    /// refused.
     pub fn end(&self) {
-        self.set(Accepting::Ended);
+        self.set(AcceptStage::Ended);
     }
 
-    fn set(&self, accepting: Accepting) {
-        self.accepting.set(accepting);
+    fn set(&self, stage: AcceptStage) {
+        self.stage.set(stage);
         self.changed.notify_waiters();
     }
 
-    /// Waits until it has come to this.
-    async fn reached(&self, accepting: Accepting) {
-        while self.accepting.get() < accepting {
+    /// Waits until this stage, or a later one, is reached.
+    async fn reached(&self, stage: AcceptStage) {
+        while self.stage.get() < stage {
             self.changed.notified().await;
         }
     }
 }
 
-/// The next connection, while there is a listener.
-async fn next(listener: &Option<TcpListener>) -> io::Result<Accepted> {
+/// Accepts the next connection; waits for ever if the listener is closed.
+async fn accept_next(listener: &Option<TcpListener>) -> io::Result<Accepted> {
     match listener {
         Some(listener) => listener.accept().await,
         None => pending().await,
     }
 }
 
-/// Closes a listener; what waited at it, the first to come last. The system is asked for each without a turn of this
-/// thread's between: the runtime may not have been told of it yet. What comes after the last of them is reset, so
-/// that nothing may be given to this listener any more ([`steer_to`]).
+/// Closes a listener and returns the connections of its queue, the oldest last. They are accepted from the
+/// system directly and without a pause, since the runtime may not have been notified of them yet. A
+/// connection that comes after the last of them is reset, so new ones must have been directed to another
+/// listener before ([`steer_to`]).
 fn close_listener(listener: TcpListener) -> io::Result<Vec<Accepted>> {
     let listener = listener.into_std()?;
-    let mut waited = Vec::new();
+    let mut queued = Vec::new();
     while let Ok((stream, peer)) = listener.accept() {
-        waited.push((stream, peer));
+        queued.push((stream, peer));
     }
     drop(listener);
     let register = |(stream, peer): (std::net::TcpStream, SocketAddr)| {
         stream.set_nonblocking(true)?;
         Ok((TcpStream::from_std(stream)?, peer))
     };
-    waited.into_iter().rev().map(register).collect()
+    queued.into_iter().rev().map(register).collect()
 }
 
-/// Accepts until the program ends, or the front takes no more clients and all that were accepted are served and gone: a
-/// task for each connection, and at most so many of them, with a few that linger.
-/// Guards against connections that say nothing, which must not keep out those that would: the newest comer gets
-/// the place of the one that is first to be closed, and is turned away only where none is idle. Where it is memory that is
-/// missing, it waits in the system's queue until those before it have theirs.
+/// Accepts clients, with one task per connection, until the program ends, or until the front takes no more
+/// clients and all connections have closed. At most `max_connections` are served, and a few linger beside
+/// them. Silent connections must not keep out others: at the limit, a new connection evicts an idle one, and
+/// is refused only if none is idle. Where memory is missing, new connections stay in the system's queue until
+/// those before them have got theirs.
 pub async fn accept<F>(
     listener: TcpListener,
     state: Rc<ListenerState>,
-    most: usize,
+    max_connections: usize,
     memory: Ledger,
     serve: impl Fn(Rc<ClientSocket>, ConnectionSlot, Grant) -> F + 'static,
 ) where
     F: Future<Output = io::Result<()>> + 'static,
 {
-    let table = ConnectionTable::new((most / EXTRA_SHARE).max(1));
+    let table = ConnectionTable::new((max_connections / EXTRA_DIVISOR).max(1));
     let connection_memory = Rc::new(ConnectionMemory::new(memory.clone(), table.clone()));
     let acceptor = Acceptor {
         table: table.clone(),
-        most,
+        max_connections,
         ledger: memory.clone(),
         memory: connection_memory,
         serve: Rc::new(serve),
     };
-    let mut relief_at = clock::now();
-    // What still waits of what was at the listener when it was closed.
-    let (mut listener, mut waited) = (Some(listener), Vec::new());
-    // Once the front takes no more clients: when the listener is closed.
+    let mut next_eviction = clock::now();
+    // The connections from the closed listener's queue that are not served yet.
+    let (mut listener, mut queued) = (Some(listener), Vec::new());
+    // When the listener is closed, once the front takes no more clients.
     let mut closing_at = None;
     loop {
         let scarce = memory.closes(table.open()) > 0;
-        let held = acceptor.holds_newcomers();
+        let paused = acceptor.is_paused();
         let accepted = tokio::select! {
             biased;
-            // New connections go to the successor first, if there is one; then the listener is closed, and only then is any
-            // connection asked to close: a client that comes again must find the successor's.
-            () = state.reached(Accepting::HandedOver), if closing_at.is_none() => {
-                // One that is itself the younger has none, and would take the other's clients.
+            // New connections are directed to the successor first, if there is one; then the listener is
+            // closed, and only then do connections close: a client that reconnects must reach the successor.
+            () = state.reached(AcceptStage::HandedOver), if closing_at.is_none() => {
+                // A process without a successor may be the younger one itself, and would take the other's
+                // clients.
                 listener.iter().filter(|_| state.has_successor.get()).for_each(prefer_youngest);
-                closing_at = Some(clock::now() + HANDSHAKE);
+                closing_at = Some(clock::now() + HANDSHAKE_TIME);
                 continue;
             }
             () = sleep_until(clock::instant(closing_at.unwrap_or_default())),
                 if closing_at.is_some() && !table.is_closing_all() =>
             {
-                waited = listener.take().map_or(Ok(Vec::new()), close_listener).unwrap_or_else(|e| {
-                    log!("what waits at the listener is lost: {e}");
+                queued = listener.take().map_or(Ok(Vec::new()), close_listener).unwrap_or_else(|e| {
+                    log!("connections in the listener's queue are lost: {e}");
                     Vec::new()
                 });
-                table.close_all_after_reading();
+                table.close_all_after_grace();
                 continue;
             }
-            last = std::future::ready(waited.pop()), if table.is_closing_all() => match last {
-                Some(last) => Ok(last),
+            oldest = std::future::ready(queued.pop()), if table.is_closing_all() => match oldest {
+                Some(oldest) => Ok(oldest),
                 None => {
                     log!("listener closed: no more clients are accepted");
                     return close_all(&table, &state).await;
                 }
             },
-            () = sleep_until(clock::instant(relief_at)), if scarce => {
+            () = sleep_until(clock::instant(next_eviction)), if scarce => {
                 let now = clock::now();
-                relief_at = now + RELIEF_INTERVAL;
+                next_eviction = now + EVICTION_INTERVAL;
                 for _ in 0..memory.closes(table.idle()) {
-                    table.close_idle_since_grace(now);
+                    table.evict_after_grace(now);
                 }
                 continue;
             }
             () = memory.became_scarce(), if !scarce => continue,
-            () = sleep_until(clock::instant(clock::now() + MEMORY_RETRY_INTERVAL)), if held => continue,
-            accepted = next(&listener), if !held && !table.is_closing_all() => accepted,
+            () = sleep_until(clock::instant(clock::now() + MEMORY_RETRY_INTERVAL)), if paused => continue,
+            accepted = accept_next(&listener), if !paused && !table.is_closing_all() => accepted,
         };
         match accepted {
-            Ok(accepted) => acceptor.take(accepted).await,
+            Ok(accepted) => acceptor.serve_or_refuse(accepted).await,
             Err(e) => {
                 log!("cannot accept a client: {e}");
-                sleep_until(clock::instant(clock::now() + ACCEPT_PAUSE)).await;
+                sleep_until(clock::instant(clock::now() + ACCEPT_RETRY_DELAY)).await;
             }
         }
     }
 }
 
-/// Closes what was accepted, and waits for less the less time there is, until all of it is gone.
+/// Waits until all connections have closed, and lets them close sooner at each stage of `state`.
 async fn close_all(table: &ConnectionTable, state: &ListenerState) {
     let hasten = async {
-        state.reached(Accepting::No).await;
-        table.close_all_immediately();
-        state.reached(Accepting::Ended).await;
-        table.close_all_behind_answers();
+        state.reached(AcceptStage::Closed).await;
+        table.close_all_after_delivery();
+        state.reached(AcceptStage::Ended).await;
+        table.close_all_after_send();
         pending::<()>().await;
     };
     tokio::select! {
@@ -249,10 +257,10 @@
     }
 }
 
-/// What turns an accepted connection into a task that serves it.
+/// Starts a task for each accepted connection.
 struct Acceptor<S> {
     table: Rc<ConnectionTable>,
-    most: usize,
+    max_connections: usize,
     ledger: Ledger,
     memory: Rc<ConnectionMemory>,
     serve: Rc<S>,
@@ -263,18 +271,19 @@
     S: Fn(Rc<ClientSocket>, ConnectionSlot, Grant) -> F + 'static,
     F: Future<Output = io::Result<()>> + 'static,
 {
-    /// Are new connections left in the system's queue, since all places are taken and those who wait for memory keep theirs?
-    fn holds_newcomers(&self) -> bool {
-        self.table.places_taken() >= self.most && self.memory.holds_newcomers()
+    /// Returns whether new connections stay in the system's queue: all slots are in use, and connections that
+    /// wait for memory keep theirs.
+    fn is_paused(&self) -> bool {
+        self.table.slots_in_use() >= self.max_connections && self.memory.is_waited_for()
     }
 
-    /// Serves a connection, for which another may be closed, or turns it away.
-    async fn take(&self, (stream, peer): Accepted) {
-        if self.table.places_taken() >= self.most {
-            if !self.memory.make_place().await {
-                return log!("client {peer} is turned away: {} are connected", self.most);
+    /// Serves a connection, for which another one may be evicted, or refuses it.
+    async fn serve_or_refuse(&self, (stream, peer): Accepted) {
+        if self.table.slots_in_use() >= self.max_connections {
+            if !self.memory.free_slot().await {
+                return log!("client {peer} is refused: {} connections are open", self.max_connections);
             }
-            // The one that was asked to close does so first.
+            // The connection that has a close request closes first.
             tokio::task::yield_now().await;
         }
         let socket = Rc::new(ClientSocket::new(stream));
@@ -282,7 +291,7 @@
         let (ledger, memory, serve) = (self.ledger.clone(), self.memory.clone(), self.serve.clone());
         spawn_local(measured(TaskKind::Client, async move {
             let Some(grant) = memory.grant(&socket, &slot).await else {
-                return log!("client {peer} is turned away: no memory for another connection");
+                return log!("client {peer} is refused: no memory for another connection");
             };
             ledger.clients(1);
             if let Err(e) = serve(socket, slot, grant).await
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,5 +1,5 @@
-//! The platform's wires: RESP clients, the line protocol to cache nodes, the coordinator's feed. Nothing is
-//! decided here: what arrives is handed to the broker by queue, and what it orders is carried out.
+//! The platform's protocols: RESP for clients, the line protocol of cache nodes, the coordinator's feed.
+//! Nothing is decided here: input is queued to the broker, and the broker's orders are carried out.
 
 pub mod admin;
 mod buffer;
@@ -31,31 +31,32 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// What is read of a client at once (bytes).
-pub const INPUT: usize = 4 * 1024;
+/// Limit of a single read from a client (bytes).
+pub const READ_CHUNK_BYTES: usize = 4 * 1024;
 
-/// Why input cannot be read; the connection that it came on is closed.
+/// What is wrong with input that violates its protocol; its connection is closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Unreadable(pub &'static str);
+pub struct ProtocolError(pub &'static str);
 
-/// A value that a reload may change while a task goes by it.
-pub struct Live<T> {
+/// A value that a reload of the settings may change while a task uses it.
+pub struct Reloadable<T> {
     value: Cell<T>,
     changed: Notify,
 }
 
-impl<T: Copy + PartialEq> Live<T> {
-    /// Starts with this.
+impl<T: Copy + PartialEq> Reloadable<T> {
+    /// Starts with this value.
     pub fn new(value: T) -> Rc<Self> {
-        Rc::new(Live { value: Cell::new(value), changed: Notify::new() })
+        Rc::new(Reloadable { value: Cell::new(value), changed: Notify::new() })
     }
 
-    /// What it is now.
+    /// Returns the current value.
     pub fn get(&self) -> T {
         self.value.get()
     }
 
-    /// Changes it and wakes its one task; was it another?
+    /// Sets the value, and wakes the task that uses it if the value differs from before. Returns whether it
+    /// does.
     pub fn set(&self, value: T) -> bool {
         let changed = self.value.replace(value) != value;
         if changed {
@@ -64,22 +65,22 @@
         changed
     }
 
-    /// Waits until it has changed; a change that nobody waited for is not missed.
+    /// Waits until the value has changed; also returns for a change since the last wait.
     pub async fn changed(&self) {
         self.changed.notified().await;
     }
 }
 
-/// Plain decimal digits.
-pub fn number(digits: &[u8]) -> Option<u64> {
+/// Parses 1 to 19 decimal digits.
+pub fn parse_u64(digits: &[u8]) -> Option<u64> {
     if digits.is_empty() || digits.len() > 19 {
         return None;
     }
     digits.iter().try_fold(0u64, |n, d| d.is_ascii_digit().then(|| n * 10 + u64::from(d - b'0')))
 }
 
-/// A decimal number that is not negative, with or without a fraction.
-pub fn amount(text: &[u8]) -> Option<f64> {
+/// Parses a decimal number without a sign, with or without a fraction, of up to 24 bytes.
+pub fn parse_non_negative(text: &[u8]) -> Option<f64> {
     let plain = text.len() <= 24 && text.iter().all(|b| b.is_ascii_digit() || *b == b'.');
     let value: f64 = std::str::from_utf8(text).ok().filter(|_| plain)?.parse().ok()?;
     value.is_finite().then_some(value)
