--- a/src/broker/admission.rs
+++ b/src/broker/admission.rs
@@ -19,7 +19,7 @@
             ask.deadline = ask.deadline.min(self.closes);
         }
         // Its client left while it lay in the queue: nobody is owed anything.
-        if ask.gone.get() {
+        if ask.cancelled.get() {
             self.counters.aborted += 1;
             return;
         }
@@ -28,17 +28,17 @@
             return self.turn_away(caller, ask.class, Answer::Refused(RETRY_AFTER_CLOSE));
         }
         if ask.deadline <= now {
-            return self.turn_away(caller, ask.class, Answer::Late);
+            return self.turn_away(caller, ask.class, Answer::DeadlineExceeded);
         }
         #[cfg(feature = "planted")]
-        if crate::planted::refuses(ask.class.0) {
+        if crate::planted::should_refuse(ask.class.0) {
             return self.turn_away(caller, ask.class, Answer::Refused(0.1));
         }
         if !self.contracts.covers(&ask) {
             return self.turn_away(caller, ask.class, Answer::Forbidden);
         }
         if !self.has_room() || self.callers.contains_key(&caller) {
-            let wait = self.director.settings().max_wait;
+            let wait = self.director.settings().max_retry_after;
             return self.turn_away(caller, ask.class, Answer::Refused(wait));
         }
         if let Err(wait) = self.budgets.admit(now, ask.team) {
@@ -58,19 +58,19 @@
             part: ask.part,
             group: ask.group,
             expires: ask.deadline,
-            kb: ask.kb,
-            repeat: ask.repeat,
+            kb: ask.size_kb,
+            repeat: ask.is_retry,
             write: self
                 .director
                 .settings()
                 .classes
                 .get(usize::from(ask.class.0))
-                .is_some_and(|c| c.never_kept),
+                .is_some_and(|c| c.uncacheable),
         };
         self.timers.set(ask.deadline, timers::Timer::Deadline(id));
         self.callers.insert(caller, id);
         let aim = now + self.aim(&ask);
-        self.open.insert(id, Open { caller, ask, aim, attempts: Vec::new(), done: false });
+        self.open.insert(id, Open { caller, request: ask, aim, attempts: Vec::new(), done: false });
         self.feed(now, Event::Request(request));
         self.settle(now);
     }
@@ -100,12 +100,12 @@
         // forgotten (nodes, purges) needs room, they make do with what is left.
         let granted = self.learned.resize(wanted).is_ok();
         let left = if granted { wanted } else { self.learned.bytes() };
-        self.director.hold_to(left.saturating_sub(fixed));
+        self.director.set_memory_limit(left.saturating_sub(fixed));
     }
 
     /// Answers a request that the director never hears of.
     pub(super) fn turn_away(&mut self, caller: Caller, class: ClassId, answer: Answer) {
-        self.figures.count(class, answer.count());
+        self.metrics.count(class, answer.count());
         self.counters.answered(&answer);
         self.counters.turned_away += 1;
         self.effects.push(Effect::Answer { caller, answer });
@@ -114,7 +114,7 @@
     /// How long its class aims for, by the size where that is told (seconds).
     pub(super) fn aim(&self, ask: &ClientRequest) -> f64 {
         let s = self.director.settings();
-        let sending = s.sending(ask.kb).unwrap_or(0.0);
+        let sending = s.transfer_time(ask.size_kb).unwrap_or(0.0);
         s.classes.get(usize::from(ask.class.0)).map_or(f64::MAX, |c| c.aim + c.aim_stretch * sending)
     }
 
--- a/src/broker/counters.rs
+++ b/src/broker/counters.rs
@@ -89,12 +89,12 @@
         match answer {
             Answer::Served(content) => {
                 self.served += 1;
-                self.current += u64::from(content.current);
+                self.current += u64::from(content.not_modified);
                 self.bytes += content.body.len() as u64;
             }
             Answer::Refused(_) => self.refused += 1,
             Answer::Failed => self.failed += 1,
-            Answer::Late => self.late += 1,
+            Answer::DeadlineExceeded => self.late += 1,
             Answer::OverBudget(_) => self.over_budget += 1,
             Answer::Forbidden => self.forbidden += 1,
         }
@@ -111,10 +111,10 @@
             Outcome::ConnectFailed => self.connect_failed += 1,
             Outcome::Reset => self.reset += 1,
             Outcome::Cancelled => self.cancelled += 1,
-            Outcome::Moot => self.moot += 1,
+            Outcome::NotSent => self.moot += 1,
         }
         match note {
-            Note::Hit | Note::Old => self.hits += 1,
+            Note::Hit | Note::Stale => self.hits += 1,
             Note::Filled | Note::FilledFromOrigin | Note::Joined => self.fills += 1,
             _ => {}
         }
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -2,12 +2,12 @@
 //! line `eof`), and ends. Nothing is decided here: health and metrics are read where they are published, and
 //! cordons are queued to the broker, which replies once they are in force.
 
-use crate::broker::{Figures, Operator};
+use crate::broker::{Metrics, OperatorRequest};
 use crate::interface::NodeId;
 use crate::membership::{OperatorOverride, node_id};
-use crate::spread::HOMES;
+use crate::spread::HOME_RULE_VERSION;
 use crate::state::StateWorker;
-use crate::turns::{TaskKind, measured};
+use crate::turns::{TaskKind, track_polls};
 use crate::{clock, log};
 use std::cell::Cell;
 use std::collections::VecDeque;
@@ -91,9 +91,9 @@
     /// Whether this process takes clients.
     pub ready: Rc<Cell<bool>>,
     /// The metrics.
-    pub figures: Rc<Figures>,
+    pub metrics: Rc<Metrics>,
     /// The queue to the broker.
-    pub operators: UnboundedSender<Operator>,
+    pub operators: UnboundedSender<OperatorRequest>,
     /// The state file of the cordons.
     pub store: StateWorker,
     /// The digest of the settings in force.
@@ -125,10 +125,12 @@
             Err(reason) => return format!("fail {reason}\n"),
         };
         #[cfg(feature = "planted")]
-        match crate::planted::socket() {
-            crate::planted::Socket::Mute => std::future::pending().await,
-            crate::planted::Socket::Never if call == Call::Health => return "fail no: planted\n".into(),
-            crate::planted::Socket::Other if call == Call::Version => {
+        match crate::planted::operator_fault() {
+            crate::planted::OperatorFault::Mute => std::future::pending().await,
+            crate::planted::OperatorFault::NeverReady if call == Call::Health => {
+                return "fail no: planted\n".into();
+            }
+            crate::planted::OperatorFault::OtherBuild if call == Call::Version => {
                 return "ok build=0 settings=0 homes=0 pid=0\n".into();
             }
             _ => {}
@@ -136,8 +138,8 @@
         let hand = match call {
             Call::Health if self.ready.get() => return "ok yes\n".into(),
             Call::Health => return "fail no: this process takes no clients now\n".into(),
-            Call::Counters => return format!("ok\n{}eof\n", self.figures.render()),
-            Call::Slow => return format!("ok\n{}eof\n", self.figures.render_slow()),
+            Call::Counters => return format!("ok\n{}eof\n", self.metrics.render()),
+            Call::Slow => return format!("ok\n{}eof\n", self.metrics.render_slow()),
             Call::Version => return self.version().await,
             Call::Cordon(node) => OperatorOverride::Cordon(node),
             Call::Uncordon(node) => OperatorOverride::Uncordon(node),
@@ -148,14 +150,14 @@
         let _ = timeout_at(clock::instant(clock::now() + STATE_READ_TIMEOUT), restore).await;
         let (reply, answer) = oneshot::channel();
         // If the broker has ended, the call is dropped with its reply channel, which `answer` reports.
-        let _ = self.operators.send(Operator::Call { hand, reply });
+        let _ = self.operators.send(OperatorRequest::Override { action: hand, reply });
         let (message, kept, number) = match answer.await {
             Ok(Ok(done)) => done,
             Ok(Err(reason)) => return format!("fail {reason}\n"),
             // The broker has ended and this process sends no more requests: the call is stored for its
             // successor.
             Err(_) => {
-                return match self.store.amend(hand, clock::now()).await {
+                return match self.store.apply_override(hand, clock::now()).await {
                     Ok(()) => format!(
                         "ok kept for the process that follows: {}\n",
                         line.trim_ascii().escape_ascii()
@@ -164,7 +166,7 @@
                 };
             }
         };
-        if let Err(e) = self.store.keep(number, kept).await {
+        if let Err(e) = self.store.write(number, kept).await {
             log!("cordons: cannot write the state file: {e}");
             return format!("fail {message} in this process, but not kept for the next: {e}\n");
         }
@@ -183,13 +185,16 @@
             }
         }
         let (build, settings) = (self.build.get().unwrap_or(0), self.settings.get());
-        format!("ok build={build:016x} settings={settings:016x} homes={HOMES} pid={}\n", std::process::id())
+        format!(
+            "ok build={build:016x} settings={settings:016x} homes={HOME_RULE_VERSION} pid={}\n",
+            std::process::id()
+        )
     }
 
     /// Reads the state file if another process has changed it, and passes its contents to the broker.
     async fn restore_changed_state(self: Rc<Self>) {
-        if let Some(kept) = self.store.look().await {
-            let _ = self.operators.send(Operator::Kept(kept));
+        if let Some(kept) = self.store.read_if_changed().await {
+            let _ = self.operators.send(OperatorRequest::Restore(kept));
         }
     }
 
@@ -205,7 +210,7 @@
 /// Serves operators until the program ends.
 pub async fn serve(listener: TcpListener, context: Rc<AdminContext>) {
     let mut callers: VecDeque<JoinHandle<()>> = VecDeque::new();
-    spawn_local(measured(TaskKind::Operators, context.clone().poll_state_file()));
+    spawn_local(track_polls(TaskKind::Operators, context.clone().poll_state_file()));
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
@@ -215,7 +220,10 @@
                 {
                     oldest.abort();
                 }
-                callers.push_back(spawn_local(measured(TaskKind::Operators, serve_caller(stream, context.clone()))));
+                callers.push_back(spawn_local(track_polls(
+                    TaskKind::Operators,
+                    serve_caller(stream, context.clone()),
+                )));
             }
             Err(e) => {
                 log!("cannot accept an operator: {e}");
@@ -261,7 +269,8 @@
         Ok(Ok(ReadLine::TooLong)) => format!("fail the line is longer than {MAX_LINE_BYTES} bytes\n"),
         _ => return,
     };
-    let _ = timeout_at(clock::instant(clock::now() + REPLY_TIMEOUT), stream.write_all(reply.as_bytes())).await;
+    let _ =
+        timeout_at(clock::instant(clock::now() + REPLY_TIMEOUT), stream.write_all(reply.as_bytes())).await;
     let by = clock::instant(clock::now() + LINGER_WINDOW);
     let _ = timeout_at(by, super::shut_and_discard(&stream, LINGER_DISCARD_BYTES)).await;
 }
--- a/src/net/clients.rs
+++ b/src/net/clients.rs
@@ -9,9 +9,9 @@
 pub(super) use session::Session;
 
 use super::ListenerState;
-use crate::broker::{ClientRequest, Contracts, Figures, Input};
+use crate::broker::{ClientRequest, Contracts, Input, Metrics};
 use crate::config::Classes;
-use crate::memory::{Ledger, Refused};
+use crate::memory::{Ledger, MemoryRefusal};
 use connection::ClientConnection;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -37,13 +37,13 @@
     /// The pushback time in refusals that this front issues by itself (seconds).
     pub pushback: f64,
     /// The operators' metrics, which count the answers that this front gives by itself.
-    pub figures: Rc<Figures>,
+    pub metrics: Rc<Metrics>,
 }
 
 impl ClientContext {
     /// Reserves memory for a request and its body, and stores the body in the request.
-    fn reserve_memory(&self, mut ask: ClientRequest, body: &[u8]) -> Result<ClientRequest, Refused> {
-        ask.hold(&self.memory, self.classes.never_kept(ask.class), body.len())?;
+    fn reserve_memory(&self, mut ask: ClientRequest, body: &[u8]) -> Result<ClientRequest, MemoryRefusal> {
+        ask.reserve_memory(&self.memory, self.classes.uncacheable(ask.class), body.len())?;
         ask.body = body.to_vec();
         Ok(ask)
     }
@@ -52,6 +52,7 @@
 /// Accepts clients until the program ends, or the front closes its listener.
 pub async fn accept(listener: TcpListener, context: Rc<ClientContext>, state: Rc<ListenerState>) {
     let (max_connections, memory) = (context.max_connections, context.memory.clone());
-    let serve = move |socket, slot, grant| ClientConnection::new(context.clone(), socket, slot, grant).serve();
+    let serve =
+        move |socket, slot, grant| ClientConnection::new(context.clone(), socket, slot, grant).serve();
     super::accept(listener, state, max_connections, memory, serve).await;
 }
--- a/src/net/clients/connection.rs
+++ b/src/net/clients/connection.rs
@@ -29,7 +29,7 @@
 /// Which side ends a connection in order.
 enum ClosedBy {
     /// The connection is idle, and this side closes it.
-    Front,
+    ClientContext,
     /// The client has closed the connection, or reads none of its answers.
     Client,
 }
@@ -93,14 +93,14 @@
         // request that can no longer be answered, or that was answered as failed above.
         self.cancel_open_requests().await;
         match result {
-            Ok(ClosedBy::Front) => {
+            Ok(ClosedBy::ClientContext) => {
                 self.close().await;
                 Ok(())
             }
             Ok(ClosedBy::Client) => Ok(()),
             Err(ConnectionError::Protocol(e)) => {
                 self.close().await;
-                Err(io::Error::new(io::ErrorKind::InvalidData, e.why.0))
+                Err(io::Error::new(io::ErrorKind::InvalidData, e.error.0))
             }
             Err(ConnectionError::Io(e)) => match e.kind() {
                 io::ErrorKind::ConnectionReset | io::ErrorKind::BrokenPipe => Ok(()),
@@ -127,7 +127,7 @@
     /// Reads requests and writes answers until the connection ends.
     async fn exchange(&mut self) -> Result<ClosedBy, ConnectionError> {
         let socket = self.socket.clone();
-        let bodies = self.session.context.memory.empty(AccountOwner::of(Purpose::Bodies));
+        let bodies = self.session.context.memory.empty_grant(AccountOwner::of(Purpose::Bodies));
         let mut input = Buffer::new(READ_CHUNK_BYTES, bodies);
         let mut timers = Timers::new(clock::now());
         loop {
@@ -135,7 +135,7 @@
             if self.reads_until.is_infinite() && self.slot.closes_after_send() {
                 self.reads_until = clock::now() + FINAL_READ_TIME;
             }
-            let mid_frame = !input.is_empty() || input.skipping() > 0;
+            let mid_frame = !input.is_empty() || input.bytes_to_skip() > 0;
             let wait = self.plan_wait(mid_frame, &mut timers);
             let throttled_until = wait.throttled_until.unwrap_or(wait.now);
             let next_peer_check = wait.now + PEER_CHECK_INTERVAL;
@@ -210,7 +210,8 @@
         let unsent = output.len();
         // A client with much unread output is not read from; the limit is lower while memory is scarce.
         let may_read = self.session.context.memory.may_read(unsent);
-        let backpressure = unsent > MAX_UNSENT_BYTES || output.crowded() || !may_read || self.reads_ended(now);
+        let backpressure =
+            unsent > MAX_UNSENT_BYTES || output.has_text_backlog() || !may_read || self.reads_ended(now);
         let has_unwritten = !output.is_empty();
         // An answer that is still unread this long after it was due is useless to its client. While memory is
         // scarce, there is no such tolerance.
@@ -253,16 +254,7 @@
         let closes_at = closes_at.map(|at| at.max(processed_by).max(acknowledged_by));
         let all = [silent, timers.frame_by, stalled, timers.unblocked_by, idle_at, closes_at];
         let next_timer = all.into_iter().flatten().reduce(f64::min);
-        Wait {
-            now,
-            has_unwritten,
-            send_blocked,
-            idle,
-            backpressure,
-            throttled_until,
-            stalled_by,
-            next_timer,
-        }
+        Wait { now, has_unwritten, send_blocked, idle, backpressure, throttled_until, stalled_by, next_timer }
     }
 
     /// Handles readiness of the socket: reads from it, or notes that the client has closed it.
@@ -316,7 +308,7 @@
     async fn on_timer(&self, wait: &Wait, timers: &mut Timers) -> Result<Option<ClosedBy>, ConnectionError> {
         let now = clock::now();
         if timers.frame_by.is_some_and(|by| now >= by) {
-            return Err(FrameError { why: ProtocolError("an incomplete frame"), tag: None }.into());
+            return Err(FrameError { error: ProtocolError("an incomplete frame"), tag: None }.into());
         }
         let blocked = timers.unblocked_by.is_some_and(|by| now >= by);
         if blocked || wait.has_unwritten && now >= wait.stalled_by {
@@ -324,7 +316,7 @@
         }
         let delivery = self.socket.delivery();
         if wait.idle && self.slot.closes_after_send() && !delivery.is_blocked() {
-            return Ok(self.may_close_after_send(now).await.then_some(ClosedBy::Front));
+            return Ok(self.may_close_after_send(now).await.then_some(ClosedBy::ClientContext));
         }
         match delivery {
             Delivery::Delivered => {}
@@ -342,7 +334,7 @@
         }
         // Input does not keep a connection open on which nothing is read and no usable command ever came.
         let ignored = !self.session.has_sent_command && wait.reads_paused();
-        Ok((ignored || !readable_within_window(&self.socket).await).then_some(ClosedBy::Front))
+        Ok((ignored || !readable_within_window(&self.socket).await).then_some(ClosedBy::ClientContext))
     }
 
     /// Processes the complete frames of the buffer, and returns whether there was one.
--- a/src/net/clients/request.rs
+++ b/src/net/clients/request.rs
@@ -65,7 +65,7 @@
         match name {
             b"call" => ask.call = parse_hex_id(value)?,
             b"ttl" => ttl = Some(parse_non_negative(value).filter(|t| (1.0..=MAX_TTL_MS).contains(t))?),
-            b"rep" => ask.repeat = parse_u64(value).filter(|&r| r < 2)? == 1,
+            b"rep" => ask.is_retry = parse_u64(value).filter(|&r| r < 2)? == 1,
             b"dedupe" => ask.key = Some(parse_token(value, MAX_TOKEN_BYTES)?),
             b"row" => {
                 ask.asset = parse_hex_id(value)?;
@@ -73,13 +73,13 @@
             }
             b"slice" => ask.part = parse_u64(value).filter(|&p| p < MAX_PARTS)? as u32,
             b"set" => ask.group = GroupId(parse_u64(value).filter(|&g| g < MAX_GROUPS)? as u32),
-            b"heap" => ask.kb = parse_non_negative(value).filter(|&kb| kb <= MAX_PART_KB)?,
-            b"org" => ask.team = contracts.named(value),
-            b"seen" => ask.have = Some(parse_token(value, MAX_TOKEN_BYTES)?),
+            b"heap" => ask.size_kb = parse_non_negative(value).filter(|&kb| kb <= MAX_PART_KB)?,
+            b"org" => ask.team = contracts.find(value),
+            b"seen" => ask.client_etag = Some(parse_token(value, MAX_TOKEN_BYTES)?),
             _ => {}
         }
     }
-    let (longest, keyed) = classes.asks(class);
+    let (longest, keyed) = classes.client_rules(class);
     let patience = (ttl? / 1000.0).min(longest);
     ask.deadline =
         now + patience - (patience * ANSWER_MARGIN_SHARE).clamp(MIN_ANSWER_MARGIN, MAX_ANSWER_MARGIN);
--- a/src/net/clients/session.rs
+++ b/src/net/clients/session.rs
@@ -53,13 +53,12 @@
 }
 
 impl Session {
-    pub(in crate::net) fn new(
-        context: Rc<ClientContext>,
-        reply: UnboundedSender<(u64, Answer)>,
-    ) -> Self {
+    pub(in crate::net) fn new(context: Rc<ClientContext>, reply: UnboundedSender<(u64, Answer)>) -> Self {
         let number = context.numbers.get() + 1;
         context.numbers.set(number);
-        let unread = context.memory.empty(AccountOwner { precious: true, ..AccountOwner::of(Purpose::Unread) });
+        let unread = context
+            .memory
+            .empty_grant(AccountOwner { may_use_reserve: true, ..AccountOwner::of(Purpose::Unread) });
         Session {
             context,
             number,
@@ -94,13 +93,13 @@
         input: &mut Buffer,
     ) -> Result<Option<Option<Input>>, FrameError> {
         // The answers to a client that does not read must fit the connection's own memory.
-        if self.reads_at(now) > now || self.output.crowded() {
+        if self.reads_at(now) > now || self.output.has_text_backlog() {
             return Ok(None);
         }
         let Some((command, used)) = resp::parse(input.bytes())? else {
             return Ok(self.admit_partial_request(input));
         };
-        let mut write = |tag, word| resp::answer(&mut self.output, tag, word, "", None);
+        let mut write = |tag, word| resp::write_answer(&mut self.output, tag, word, "", None);
         let (mut cost, mut usable) = (FRAME_COST, true);
         let message = match command {
             Command::Health { tag } => {
@@ -119,7 +118,7 @@
             }
             // The client could not tell two answers with the same tag apart.
             Command::Request { tag, .. } if self.open.contains_key(&tag) => {
-                return Err(FrameError { why: ProtocolError("a tag that is in use"), tag: None });
+                return Err(FrameError { error: ProtocolError("a tag that is in use"), tag: None });
             }
             Command::Request { tag, class, fields, body } => {
                 let context = &self.context;
@@ -134,25 +133,25 @@
                     None => {
                         write(tag, "fault");
                         if let Some(class) = class {
-                            context.figures.count(class, Count::Failure);
+                            context.metrics.count(class, Count::Failure);
                         }
                         (cost, usable) = (UNUSABLE_COST, false);
                         None
                     }
                     Some(None) => {
-                        context.figures.count(class.unwrap_or_default(), Count::Busy);
+                        context.metrics.count(class.unwrap_or_default(), Count::Busy);
                         self.refuse(tag, self.context.pushback);
                         cost = REFUSED_COST;
                         None
                     }
                     Some(Some(mut ask)) => {
-                        let cancelled = ask.gone.clone();
+                        let cancelled = ask.cancelled.clone();
                         let open = OpenRequest { due: ask.deadline, class: ask.class, cancelled };
                         self.open.insert(tag, open);
-                        ask.reader = Some(self.output.reader());
-                        Some(Input::Ask {
+                        ask.unread_bytes = Some(self.output.unread_content());
+                        Some(Input::Request {
                             caller: self.caller(tag),
-                            ask: ask.into(),
+                            request: ask.into(),
                             reply: self.reply.clone(),
                         })
                     }
@@ -168,18 +167,20 @@
     /// Admits a request whose body is still incomplete if there is memory for all of it. Otherwise refuses it
     /// now, and skips its bytes as they come.
     fn admit_partial_request(&mut self, input: &mut Buffer) -> Option<Option<Input>> {
-        let resp::Pending { tag, class, body, total } = resp::pending(input.bytes())?;
+        let resp::PartialRequest { tag, class, body, total } = resp::parse_partial_request(input.bytes())?;
         let context = &self.context;
         let class = context.classes.get(class);
-        let precious = class.is_some_and(|c| context.classes.never_kept(c));
-        input.set_room(|| context.memory.empty(AccountOwner { precious, ..AccountOwner::of(Purpose::Bodies) }));
-        let admitted = self.open.len() < MAX_OPEN_REQUESTS && context.memory.admits(body, precious);
+        let may_use_reserve = class.is_some_and(|c| context.classes.uncacheable(c));
+        input.set_grant(|| {
+            context.memory.empty_grant(AccountOwner { may_use_reserve, ..AccountOwner::of(Purpose::Bodies) })
+        });
+        let admitted = self.open.len() < MAX_OPEN_REQUESTS && context.memory.admits(body, may_use_reserve);
         if admitted && input.reserve(total - input.len()).is_ok() || self.open.contains_key(&tag) {
             return None;
         }
         input.skip(total);
         if let Some(class) = class {
-            context.figures.count(class, Count::Busy);
+            context.metrics.count(class, Count::Busy);
         }
         self.refuse(tag, self.context.pushback);
         self.tokens -= REFUSED_COST;
@@ -198,11 +199,11 @@
     /// known. To be followed by [`Session::cancel_open`].
     pub(in crate::net) fn fail_open(&mut self, tag: Option<u64>) {
         for (&tag, request) in &self.open {
-            self.context.figures.count(request.class, Count::Failure);
-            resp::answer(&mut self.output, tag, "fault", "", None);
+            self.context.metrics.count(request.class, Count::Failure);
+            resp::write_answer(&mut self.output, tag, "fault", "", None);
         }
         if let Some(tag) = tag.filter(|tag| !self.open.contains_key(tag)) {
-            resp::answer(&mut self.output, tag, "fault", "", None);
+            resp::write_answer(&mut self.output, tag, "fault", "", None);
         }
     }
 
@@ -211,15 +212,15 @@
         // An answer that crossed an abort is dropped.
         let Some(OpenRequest { due, .. }) = self.open.remove(&tag) else { return };
         match answer {
-            Answer::Served(content) if content.current => {
-                resp::answer(&mut self.output, tag, "ok", "current=1", None);
+            Answer::Served(content) if content.not_modified => {
+                resp::write_answer(&mut self.output, tag, "ok", "current=1", None);
             }
             Answer::Served(content) => {
-                resp::answer(&mut self.output, tag, "ok", "", Some((content.body, content.grant, due)));
+                resp::write_answer(&mut self.output, tag, "ok", "", Some((content.body, content.grant, due)));
             }
             Answer::Refused(pushback) | Answer::OverBudget(pushback) => self.refuse(tag, pushback),
-            Answer::Failed | Answer::Late | Answer::Forbidden => {
-                resp::answer(&mut self.output, tag, "fault", "", None);
+            Answer::Failed | Answer::DeadlineExceeded | Answer::Forbidden => {
+                resp::write_answer(&mut self.output, tag, "fault", "", None);
             }
         }
     }
@@ -229,6 +230,6 @@
             true => format!("pushback={}", (pushback * 1000.0).ceil()),
             false => String::new(),
         };
-        resp::answer(&mut self.output, tag, "full", &fields, None);
+        resp::write_answer(&mut self.output, tag, "full", &fields, None);
     }
 }
--- a/src/net/connection_memory.rs
+++ b/src/net/connection_memory.rs
@@ -2,7 +2,7 @@
 
 use super::closing::{FINAL_READ_WINDOW, has_input};
 use super::connections::{ConnectionSlot, ConnectionTable, IDLE_GRACE};
-use super::{ClientSocket, READ_CHUNK_BYTES, TEXT};
+use super::{ClientSocket, OUTPUT_TEXT_BYTES, READ_CHUNK_BYTES};
 use crate::clock;
 use crate::memory::{AccountOwner, Grant, Ledger, Purpose};
 use std::cell::RefCell;
@@ -97,7 +97,7 @@
     }
 
     fn acquire(&self) -> Option<Grant> {
-        self.ledger.ask(AccountOwner::of(Purpose::Clients), CONNECTION_BYTES + TEXT).ok()
+        self.ledger.acquire(AccountOwner::of(Purpose::Clients), CONNECTION_BYTES + OUTPUT_TEXT_BYTES).ok()
     }
 
     /// Evicts some idle connections that are silent or past their grace period, and returns whether there
--- a/src/net/connections/tests.rs
+++ b/src/net/connections/tests.rs
@@ -183,7 +183,11 @@
     assert!(table.evict_after_grace(10.0) && !table.evict_after_grace(10.0));
     assert_eq!(closing(&slots), [false, true]);
     assert!(table.evict_idle());
-    assert_eq!(closing(&slots), [false, true], "the new connection gets the slot of the one that closes already");
+    assert_eq!(
+        closing(&slots),
+        [false, true],
+        "the new connection gets the slot of the one that closes already"
+    );
     assert!(table.evict_idle() && !table.evict_idle());
     assert_eq!(closing(&slots), [true, true]);
 }
@@ -205,7 +209,11 @@
         closing.for_each(ConnectionSlot::mark_active);
         slots.push(ConnectionSlot::new(table.clone(), delivered(), f64::from(accepted_at)));
     }
-    assert!(table.open() <= MAX_CONNECTIONS + MAX_EXTRA, "{} are open, of {MAX_CONNECTIONS} and {MAX_EXTRA}", table.open());
+    assert!(
+        table.open() <= MAX_CONNECTIONS + MAX_EXTRA,
+        "{} are open, of {MAX_CONNECTIONS} and {MAX_EXTRA}",
+        table.open()
+    );
 }
 
 /// Guards against refusing a new connection although the slot of one that is evicted for its memory is about
--- a/src/net/coordinator.rs
+++ b/src/net/coordinator.rs
@@ -4,7 +4,7 @@
 
 use super::frames::{self, Frame};
 use super::{Buffer, ProtocolError, Reloadable};
-use crate::broker::News;
+use crate::broker::DiscoveryUpdate;
 use crate::memory::{AccountOwner, Ledger, Purpose};
 use crate::{clock, log};
 use std::net::SocketAddr;
@@ -63,7 +63,7 @@
 #[derive(Debug, PartialEq)]
 pub enum FrameAction {
     /// Pass the event to the broker.
-    Deliver(News),
+    Deliver(DiscoveryUpdate),
     /// Ignore it: the event was delivered before, or the frame is a heartbeat.
     Skip,
     /// An event before it is missing: reconnect, and request the events after the last number.
@@ -96,9 +96,9 @@
     /// delivered.
     pub fn advance(&mut self, number: u64, frame: Frame) -> FrameAction {
         match frame {
-            Frame::Idle if number <= self.last_number || self.gap => FrameAction::Skip,
-            Frame::News(_) if number <= self.last_number => FrameAction::Skip,
-            Frame::News(news) if number == self.last_number + 1 || self.gap => {
+            Frame::Heartbeat if number <= self.last_number || self.gap => FrameAction::Skip,
+            Frame::Event(_) if number <= self.last_number => FrameAction::Skip,
+            Frame::Event(news) if number == self.last_number + 1 || self.gap => {
                 (self.last_number, self.gap) = (number, false);
                 FrameAction::Deliver(news)
             }
@@ -117,7 +117,7 @@
     address: Rc<Reloadable<SocketAddr>>,
     last: u64,
     seed: u64,
-    news: UnboundedSender<News>,
+    news: UnboundedSender<DiscoveryUpdate>,
     memory: Ledger,
 ) {
     let mut feed = FeedPosition::new(last);
@@ -185,7 +185,7 @@
 async fn session(
     address: SocketAddr,
     feed: &mut FeedPosition,
-    news: &UnboundedSender<News>,
+    news: &UnboundedSender<DiscoveryUpdate>,
     memory: &Ledger,
 ) -> std::io::Result<&'static str> {
     let mut stream = connect(address).await?;
@@ -193,8 +193,8 @@
     stream.write_all(&feed.last_number.to_be_bytes()).await?;
     // Events matter more than any other use of the reserve: no list or purge may be missed for lack of
     // memory.
-    let owner = AccountOwner { precious: true, ..AccountOwner::of(Purpose::Learned) };
-    let mut buffer = Buffer::new(READ_BUFFER_BYTES, memory.empty(owner));
+    let owner = AccountOwner { may_use_reserve: true, ..AccountOwner::of(Purpose::Learned) };
+    let mut buffer = Buffer::new(READ_BUFFER_BYTES, memory.empty_grant(owner));
     let mut dead_at = clock::instant(clock::now() + HEARTBEAT_TIMEOUT);
     loop {
         let Ok(ready) = timeout_at(dead_at, stream.readable()).await else { return Ok("heartbeat timeout") };
--- a/src/net/coordinator/tests.rs
+++ b/src/net/coordinator/tests.rs
@@ -28,7 +28,7 @@
 /// Follows the coordinator at this address, and returns what the test makes of its events.
 fn with_feed<T, F: Future<Output = T>>(
     address: SocketAddr,
-    test: impl FnOnce(UnboundedReceiver<News>) -> F,
+    test: impl FnOnce(UnboundedReceiver<DiscoveryUpdate>) -> F,
 ) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async move {
@@ -71,7 +71,7 @@
                     let mut last = [0; 8];
                     if tokio::io::AsyncReadExt::read_exact(&mut stream, &mut last).await.is_ok() {
                         stream.write_all(&purge(4)).await.unwrap();
-                        assert!(matches!(events.recv().await, Some(News::Purge { .. })));
+                        assert!(matches!(events.recv().await, Some(DiscoveryUpdate::Purge { .. })));
                         return back.elapsed().as_secs_f64();
                     }
                 }
@@ -103,7 +103,7 @@
         let (mut fourth, _) = listener.accept().await.unwrap();
         assert_eq!(requested_after(&mut fourth).await, 3);
         fourth.write_all(&purge(4)).await.unwrap();
-        assert!(matches!(events.recv().await, Some(News::Purge { .. })));
+        assert!(matches!(events.recv().await, Some(DiscoveryUpdate::Purge { .. })));
         assert!(began.elapsed() < Duration::from_secs(7), "{:?}", began.elapsed());
         // The stalled connections are closed: events that come on them late are ignored.
         for mut stream in stalled {
--- a/src/net/lines.rs
+++ b/src/net/lines.rs
@@ -36,7 +36,7 @@
 #[must_use]
 pub fn write_serve(out: &mut Buffer, order: &Order, patience_ms: u64) -> bool {
     use std::fmt::Write;
-    let ask = &order.ask;
+    let ask = &order.request;
     let mut line = String::with_capacity(160);
     let _ = write!(line, "serve {} sort={},asset={},slice={}", ask.call, order.class, ask.asset, ask.part);
     let _ = write!(line, ",patience={patience_ms}");
@@ -55,14 +55,18 @@
         let _ = write!(line, ",maxage={}", ((order.age * 1000.0) as u64).max(1));
     }
     let o = order.options;
-    let flags =
-        [(o.join, "merge"), (o.held_only, "local"), (o.no_parent_copy, "skip"), (o.renew, "revalidate")];
+    let flags = [
+        (o.join, "merge"),
+        (o.only_if_cached, "local"),
+        (o.no_parent_copy, "skip"),
+        (o.revalidate, "revalidate"),
+    ];
     let mut separator = ",flags=";
     for (_, word) in flags.iter().filter(|f| f.0) {
         let _ = write!(line, "{separator}{word}");
         separator = "+";
     }
-    if let Some(have) = &ask.have {
+    if let Some(have) = &ask.client_etag {
         let _ = write!(line, ",have={have}");
     }
     let _ = write!(line, " {}\r\n", ask.body.len());
@@ -123,7 +127,7 @@
         "NONE" => Some(Outcome::Miss),
         "SHED" => Some(Outcome::Full),
         "FAULT" => Some(Outcome::Error),
-        "LATE" => Some(Outcome::Moot),
+        "LATE" => Some(Outcome::NotSent),
         _ => None,
     };
     let valid = word == "VALID";
@@ -132,7 +136,9 @@
     for (name, value) in fields.split(',').filter_map(|f| f.split_once('=')) {
         match name {
             "n" => answer.note = parse_note(value),
-            "ttfb" => answer.source_wait = super::parse_non_negative(value.as_bytes()).unwrap_or(0.0) / 1000.0,
+            "ttfb" => {
+                answer.source_wait = super::parse_non_negative(value.as_bytes()).unwrap_or(0.0) / 1000.0
+            }
             "etag" => answer.etag = value,
             "made" => answer.made = super::parse_u64(value.as_bytes()),
             _ => {}
@@ -162,11 +168,11 @@
         "TCP_MISS" => Note::Filled,
         "TCP_MISS_ROOT" => Note::FilledFromOrigin,
         "TCP_JOIN" => Note::Joined,
-        "TCP_STALE" => Note::Old,
+        "TCP_STALE" => Note::Stale,
         "PEER_DENY" => Note::SourceRefused,
         "PEER_DEAD" => Note::SourceFailed,
-        "PEER_MISS" => Note::SourceLacks,
-        "FILL_FULL" => Note::NoFillPlace,
+        "PEER_MISS" => Note::SourceMiss,
+        "FILL_FULL" => Note::NoFillSlot,
         "ROOT_FAIL" => Note::OriginFailed,
         _ => Note::None,
     }
--- a/src/net/listener.rs
+++ b/src/net/listener.rs
@@ -5,7 +5,7 @@
 use super::connection_memory::{ConnectionMemory, EVICTION_INTERVAL, MEMORY_RETRY_INTERVAL};
 use super::connections::{ConnectionSlot, ConnectionTable};
 use crate::memory::{Grant, Ledger};
-use crate::turns::{TaskKind, measured};
+use crate::turns::{TaskKind, track_polls};
 use crate::{clock, log};
 use std::cell::Cell;
 use std::future::pending;
@@ -190,7 +190,7 @@
     // When the listener is closed, once the front takes no more clients.
     let mut closing_at = None;
     loop {
-        let scarce = memory.closes(table.open()) > 0;
+        let scarce = memory.idle_connections_to_close(table.open()) > 0;
         let paused = acceptor.is_paused();
         let accepted = tokio::select! {
             biased;
@@ -223,12 +223,12 @@
             () = sleep_until(clock::instant(next_eviction)), if scarce => {
                 let now = clock::now();
                 next_eviction = now + EVICTION_INTERVAL;
-                for _ in 0..memory.closes(table.idle()) {
+                for _ in 0..memory.idle_connections_to_close(table.idle()) {
                     table.evict_after_grace(now);
                 }
                 continue;
             }
-            () = memory.became_scarce(), if !scarce => continue,
+            () = memory.wait_until_scarce(), if !scarce => continue,
             () = sleep_until(clock::instant(clock::now() + MEMORY_RETRY_INTERVAL)), if paused => continue,
             accepted = accept_next(&listener), if !paused && !table.is_closing_all() => accepted,
         };
@@ -289,17 +289,17 @@
         let socket = Rc::new(ClientSocket::new(stream));
         let slot = ConnectionSlot::new(self.table.clone(), socket.clone(), clock::now());
         let (ledger, memory, serve) = (self.ledger.clone(), self.memory.clone(), self.serve.clone());
-        spawn_local(measured(TaskKind::Client, async move {
+        spawn_local(track_polls(TaskKind::Client, async move {
             let Some(grant) = memory.grant(&socket, &slot).await else {
                 return log!("client {peer} is refused: no memory for another connection");
             };
-            ledger.clients(1);
+            ledger.adjust_client_count(1);
             if let Err(e) = serve(socket, slot, grant).await
                 && !matches!(e.kind(), io::ErrorKind::ConnectionReset | io::ErrorKind::BrokenPipe)
             {
                 log!("client {peer}: {e}");
             }
-            ledger.clients(-1);
+            ledger.adjust_client_count(-1);
         }));
     }
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -20,7 +20,7 @@
 mod send_queue;
 mod tcp_info;
 
-pub use buffer::{Buffer, Output, TEXT};
+pub use buffer::{Buffer, OUTPUT_TEXT_BYTES, Output};
 pub use client_socket::{ClientSocket, SendState};
 pub use closing::{PEER_CHECK_INTERVAL, linger, peer_has_closed, readable_within_window, shut_and_discard};
 pub use connections::{ConnectionSlot, LingerPermit};
