--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -135,7 +135,7 @@
             }
             _ => {}
         }
-        let hand = match call {
+        let action = match call {
             Call::Health if self.ready.get() => return "ok yes\n".into(),
             Call::Health => return "fail no: this process takes no clients now\n".into(),
             Call::Counters => return format!("ok\n{}eof\n", self.metrics.render()),
@@ -150,14 +150,14 @@
         let _ = timeout_at(clock::instant(clock::now() + STATE_READ_TIMEOUT), restore).await;
         let (reply, answer) = oneshot::channel();
         // If the broker has ended, the call is dropped with its reply channel, which `answer` reports.
-        let _ = self.operators.send(OperatorRequest::Override { action: hand, reply });
-        let (message, kept, number) = match answer.await {
+        let _ = self.operators.send(OperatorRequest::Override { action, reply });
+        let (message, saved, number) = match answer.await {
             Ok(Ok(done)) => done,
             Ok(Err(reason)) => return format!("fail {reason}\n"),
             // The broker has ended and this process sends no more requests: the call is stored for its
             // successor.
             Err(_) => {
-                return match self.store.apply_override(hand, clock::now()).await {
+                return match self.store.apply_override(action, clock::now()).await {
                     Ok(()) => format!(
                         "ok kept for the process that follows: {}\n",
                         line.trim_ascii().escape_ascii()
@@ -166,7 +166,7 @@
                 };
             }
         };
-        if let Err(e) = self.store.write(number, kept).await {
+        if let Err(e) = self.store.write(number, saved).await {
             log!("cordons: cannot write the state file: {e}");
             return format!("fail {message} in this process, but not kept for the next: {e}\n");
         }
@@ -193,8 +193,8 @@
 
     /// Reads the state file if another process has changed it, and passes its contents to the broker.
     async fn restore_changed_state(self: Rc<Self>) {
-        if let Some(kept) = self.store.read_if_changed().await {
-            let _ = self.operators.send(OperatorRequest::Restore(kept));
+        if let Some(saved) = self.store.read_if_changed().await {
+            let _ = self.operators.send(OperatorRequest::Restore(saved));
         }
     }
 
--- a/src/net/clients.rs
+++ b/src/net/clients.rs
@@ -42,10 +42,14 @@
 
 impl ClientContext {
     /// Reserves memory for a request and its body, and stores the body in the request.
-    fn reserve_memory(&self, mut ask: ClientRequest, body: &[u8]) -> Result<ClientRequest, MemoryRefusal> {
-        ask.reserve_memory(&self.memory, self.classes.uncacheable(ask.class), body.len())?;
-        ask.body = body.to_vec();
-        Ok(ask)
+    fn reserve_memory(
+        &self,
+        mut request: ClientRequest,
+        body: &[u8],
+    ) -> Result<ClientRequest, MemoryRefusal> {
+        request.reserve_memory(&self.memory, self.classes.uncacheable(request.class), body.len())?;
+        request.body = body.to_vec();
+        Ok(request)
     }
 }
 
--- a/src/net/clients/connection.rs
+++ b/src/net/clients/connection.rs
@@ -29,7 +29,7 @@
 /// Which side ends a connection in order.
 enum ClosedBy {
     /// The connection is idle, and this side closes it.
-    ClientContext,
+    Front,
     /// The client has closed the connection, or reads none of its answers.
     Client,
 }
@@ -93,7 +93,7 @@
         // request that can no longer be answered, or that was answered as failed above.
         self.cancel_open_requests().await;
         match result {
-            Ok(ClosedBy::ClientContext) => {
+            Ok(ClosedBy::Front) => {
                 self.close().await;
                 Ok(())
             }
@@ -316,7 +316,7 @@
         }
         let delivery = self.socket.delivery();
         if wait.idle && self.slot.closes_after_send() && !delivery.is_blocked() {
-            return Ok(self.may_close_after_send(now).await.then_some(ClosedBy::ClientContext));
+            return Ok(self.may_close_after_send(now).await.then_some(ClosedBy::Front));
         }
         match delivery {
             Delivery::Delivered => {}
@@ -334,7 +334,7 @@
         }
         // Input does not keep a connection open on which nothing is read and no usable command ever came.
         let ignored = !self.session.has_sent_command && wait.reads_paused();
-        Ok((ignored || !readable_within_window(&self.socket).await).then_some(ClosedBy::ClientContext))
+        Ok((ignored || !readable_within_window(&self.socket).await).then_some(ClosedBy::Front))
     }
 
     /// Processes the complete frames of the buffer, and returns whether there was one.
--- a/src/net/clients/request.rs
+++ b/src/net/clients/request.rs
@@ -52,7 +52,7 @@
 ) -> Option<ClientRequest> {
     const NAMES: [&[u8]; 10] =
         [b"call", b"ttl", b"rep", b"dedupe", b"row", b"slice", b"set", b"heap", b"org", b"seen"];
-    let mut ask = ClientRequest { class, ..ClientRequest::default() };
+    let mut request = ClientRequest { class, ..ClientRequest::default() };
     let mut ttl = None;
     let mut seen = [false; NAMES.len()];
     for field in fields.split(|&b| b == b',') {
@@ -63,28 +63,28 @@
             return None;
         }
         match name {
-            b"call" => ask.call = parse_hex_id(value)?,
+            b"call" => request.call = parse_hex_id(value)?,
             b"ttl" => ttl = Some(parse_non_negative(value).filter(|t| (1.0..=MAX_TTL_MS).contains(t))?),
-            b"rep" => ask.is_retry = parse_u64(value).filter(|&r| r < 2)? == 1,
-            b"dedupe" => ask.key = Some(parse_token(value, MAX_TOKEN_BYTES)?),
+            b"rep" => request.is_retry = parse_u64(value).filter(|&r| r < 2)? == 1,
+            b"dedupe" => request.key = Some(parse_token(value, MAX_TOKEN_BYTES)?),
             b"row" => {
-                ask.asset = parse_hex_id(value)?;
-                ask.object = ObjectId(u64::from_str_radix(&ask.asset, 16).ok()?);
+                request.asset = parse_hex_id(value)?;
+                request.object = ObjectId(u64::from_str_radix(&request.asset, 16).ok()?);
             }
-            b"slice" => ask.part = parse_u64(value).filter(|&p| p < MAX_PARTS)? as u32,
-            b"set" => ask.group = GroupId(parse_u64(value).filter(|&g| g < MAX_GROUPS)? as u32),
-            b"heap" => ask.size_kb = parse_non_negative(value).filter(|&kb| kb <= MAX_PART_KB)?,
-            b"org" => ask.team = contracts.find(value),
-            b"seen" => ask.client_etag = Some(parse_token(value, MAX_TOKEN_BYTES)?),
+            b"slice" => request.part = parse_u64(value).filter(|&p| p < MAX_PARTS)? as u32,
+            b"set" => request.group = GroupId(parse_u64(value).filter(|&g| g < MAX_GROUPS)? as u32),
+            b"heap" => request.size_kb = parse_non_negative(value).filter(|&kb| kb <= MAX_PART_KB)?,
+            b"org" => request.team = contracts.find(value),
+            b"seen" => request.client_etag = Some(parse_token(value, MAX_TOKEN_BYTES)?),
             _ => {}
         }
     }
     let (longest, keyed) = classes.client_rules(class);
     let patience = (ttl? / 1000.0).min(longest);
-    ask.deadline =
+    request.deadline =
         now + patience - (patience * ANSWER_MARGIN_SHARE).clamp(MIN_ANSWER_MARGIN, MAX_ANSWER_MARGIN);
-    let complete = !ask.call.is_empty() && !ask.asset.is_empty() && (!keyed || ask.key.is_some());
-    complete.then_some(ask)
+    let complete = !request.call.is_empty() && !request.asset.is_empty() && (!keyed || request.key.is_some());
+    complete.then_some(request)
 }
 
 #[cfg(test)]
--- a/src/net/clients/session.rs
+++ b/src/net/clients/session.rs
@@ -123,13 +123,13 @@
             Command::Request { tag, class, fields, body } => {
                 let context = &self.context;
                 let class = context.classes.get(class);
-                let ask =
+                let request =
                     class.and_then(|c| request::parse(now, c, &context.classes, &context.contracts, fields));
-                let ask = ask.map(|ask| match self.open.len() >= MAX_OPEN_REQUESTS {
+                let request = request.map(|request| match self.open.len() >= MAX_OPEN_REQUESTS {
                     true => None,
-                    false => context.reserve_memory(ask, body).ok(),
+                    false => context.reserve_memory(request, body).ok(),
                 });
-                match ask {
+                match request {
                     None => {
                         write(tag, "fault");
                         if let Some(class) = class {
@@ -144,14 +144,14 @@
                         cost = REFUSED_COST;
                         None
                     }
-                    Some(Some(mut ask)) => {
-                        let cancelled = ask.cancelled.clone();
-                        let open = OpenRequest { due: ask.deadline, class: ask.class, cancelled };
+                    Some(Some(mut request)) => {
+                        let cancelled = request.cancelled.clone();
+                        let open = OpenRequest { due: request.deadline, class: request.class, cancelled };
                         self.open.insert(tag, open);
-                        ask.unread_bytes = Some(self.output.unread_content());
+                        request.unread_bytes = Some(self.output.unread_content());
                         Some(Input::Request {
                             caller: self.caller(tag),
-                            request: ask.into(),
+                            request: request.into(),
                             reply: self.reply.clone(),
                         })
                     }
--- a/src/net/coordinator.rs
+++ b/src/net/coordinator.rs
@@ -98,9 +98,9 @@
         match frame {
             Frame::Heartbeat if number <= self.last_number || self.gap => FrameAction::Skip,
             Frame::Event(_) if number <= self.last_number => FrameAction::Skip,
-            Frame::Event(news) if number == self.last_number + 1 || self.gap => {
+            Frame::Event(event) if number == self.last_number + 1 || self.gap => {
                 (self.last_number, self.gap) = (number, false);
-                FrameAction::Deliver(news)
+                FrameAction::Deliver(event)
             }
             _ => {
                 self.gap = true;
@@ -117,7 +117,7 @@
     address: Rc<Reloadable<SocketAddr>>,
     last: u64,
     seed: u64,
-    news: UnboundedSender<DiscoveryUpdate>,
+    updates: UnboundedSender<DiscoveryUpdate>,
     memory: Ledger,
 ) {
     let mut feed = FeedPosition::new(last);
@@ -127,12 +127,12 @@
         let reason = tokio::select! {
             biased;
             () = address.changed() => None,
-            ended = session(server, &mut feed, &news, &memory) => Some(match ended {
+            ended = session(server, &mut feed, &updates, &memory) => Some(match ended {
                 Ok(reason) => reason.to_owned(),
                 Err(e) => e.to_string(),
             }),
         };
-        if news.is_closed() {
+        if updates.is_closed() {
             return;
         }
         let Some(reason) = reason else {
@@ -185,7 +185,7 @@
 async fn session(
     address: SocketAddr,
     feed: &mut FeedPosition,
-    news: &UnboundedSender<DiscoveryUpdate>,
+    updates: &UnboundedSender<DiscoveryUpdate>,
     memory: &Ledger,
 ) -> std::io::Result<&'static str> {
     let mut stream = connect(address).await?;
@@ -215,7 +215,7 @@
             dead_at = clock::instant(clock::now() + HEARTBEAT_TIMEOUT);
             match feed.advance(number, frame) {
                 FrameAction::Deliver(event) => {
-                    if news.send(event).is_err() {
+                    if updates.send(event).is_err() {
                         return Ok("the broker has ended");
                     }
                 }
--- a/src/net/coordinator/tests.rs
+++ b/src/net/coordinator/tests.rs
@@ -32,8 +32,8 @@
 ) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async move {
-        let (news, events) = unbounded_channel();
-        tokio::task::spawn_local(follow(Reloadable::new(address), 3, 1, news, Ledger::unlimited()));
+        let (updates, events) = unbounded_channel();
+        tokio::task::spawn_local(follow(Reloadable::new(address), 3, 1, updates, Ledger::unlimited()));
         tokio::time::timeout(Duration::from_secs(30), test(events))
             .await
             .expect("what the test waits for comes")
--- a/src/net/lines.rs
+++ b/src/net/lines.rs
@@ -36,11 +36,15 @@
 #[must_use]
 pub fn write_serve(out: &mut Buffer, order: &Order, patience_ms: u64) -> bool {
     use std::fmt::Write;
-    let ask = &order.request;
+    let request = &order.request;
     let mut line = String::with_capacity(160);
-    let _ = write!(line, "serve {} sort={},asset={},slice={}", ask.call, order.class, ask.asset, ask.part);
+    let _ = write!(
+        line,
+        "serve {} sort={},asset={},slice={}",
+        request.call, order.class, request.asset, request.part
+    );
     let _ = write!(line, ",patience={patience_ms}");
-    if let Some(key) = &ask.key {
+    if let Some(key) = &request.key {
         let _ = write!(line, ",op={key}");
     }
     if let Some(source) = order.source {
@@ -66,12 +70,12 @@
         let _ = write!(line, "{separator}{word}");
         separator = "+";
     }
-    if let Some(have) = &ask.client_etag {
+    if let Some(have) = &request.client_etag {
         let _ = write!(line, ",have={have}");
     }
-    let _ = write!(line, " {}\r\n", ask.body.len());
-    let fits = out.reserve(line.len() + ask.body.len() + 2).is_ok();
-    fits && out.push(line.as_bytes()) && out.push(&ask.body) && out.push(b"\r\n")
+    let _ = write!(line, " {}\r\n", request.body.len());
+    let fits = out.reserve(line.len() + request.body.len() + 2).is_ok();
+    fits && out.push(line.as_bytes()) && out.push(&request.body) && out.push(b"\r\n")
 }
 
 /// Writes the command `cancel`. Returns `false` if there is no memory for it.
