--- a/src/net/clients/connection.rs
+++ b/src/net/clients/connection.rs
@@ -18,7 +18,7 @@
 use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
 use tokio::time::sleep_until;
 
-/// A connection with more bytes of answers to be written is not read from.
+/// Limit of answers that are still to be written; beyond it, a connection is not read from (bytes).
 const MAX_UNSENT_BYTES: usize = 512 * 1024;
 /// Delay before a connection is read from again whose frame got no memory to grow (seconds).
 const MEMORY_RETRY_DELAY: f64 = 0.005;
--- a/src/net/closing.rs
+++ b/src/net/closing.rs
@@ -13,9 +13,8 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout_at;
 
-/// Interval of checks whether a client that is not read from has left (seconds). No attempts may be sent for
-/// its requests
-/// 0.1 s after it left.
+/// Interval of checks whether a client that is not read from has left (seconds). No attempt may be sent for
+/// its requests 0.1 s after it left.
 pub const PEER_CHECK_INTERVAL: f64 = 0.05;
 /// Time that a connection that may linger waits for its client to read the last answers, before the write
 /// side is shut (seconds). Answers that are read later than this are late.
--- a/src/net/connection_memory.rs
+++ b/src/net/connection_memory.rs
@@ -92,7 +92,7 @@
     /// Returns whether connections wait for memory and none of them may be evicted, since each has sent
     /// something or is about to. A slot would be of no use to another connection then, as it would have to
     /// wait for memory too.
-    pub(super) fn is_waited_for(&self) -> bool {
+    pub(super) fn waiters_keep_slots(&self) -> bool {
         !self.waiters.is_empty() && !self.waiters.any_silent(clock::now())
     }
 
--- a/src/net/connections.rs
+++ b/src/net/connections.rs
@@ -232,9 +232,8 @@
         self.close_requested.borrow_mut().push(entry.clone());
     }
 
-    /// Moves the reservation of this connection's slot, whose client is in the middle of something, to
-    /// another idle connection, which gets a close request. Returns whether that was done. The slot of a
-    /// client that never sent a usable command stays reserved.
+    /// Moves the reservation of this connection's slot to another idle connection, which gets a close request.
+    /// Returns whether that was done. A connection that never sent a usable command keeps its reservation.
     fn transfer_reservation(&self, holder: &Rc<Entry>) -> bool {
         if !holder.has_sent_command.get() {
             return false;
--- a/src/net/coordinator.rs
+++ b/src/net/coordinator.rs
@@ -30,6 +30,8 @@
 /// Largest mean delay, after sessions that brought none (seconds). Even with jitter, a coordinator that is
 /// back is reached within a second.
 const MAX_BACKOFF: f64 = 0.4;
+/// Size of the read buffer (bytes).
+const READ_BUFFER_BYTES: usize = 16 * 1024;
 
 /// Exponential backoff with jitter: a coordinator that ends cuts the connections of all fronts at the same
 /// moment, and they must not all reconnect together.
@@ -56,9 +58,6 @@
     }
 }
 
-/// Size of the read buffer (bytes).
-const READ_BUFFER_BYTES: usize = 16 * 1024;
-
 /// What to do with a frame.
 #[derive(Debug, PartialEq)]
 pub enum FrameAction {
--- a/src/net/listener.rs
+++ b/src/net/listener.rs
@@ -274,7 +274,7 @@
     /// Returns whether new connections stay in the system's queue: all slots are in use, and connections that
     /// wait for memory keep theirs.
     fn is_paused(&self) -> bool {
-        self.table.slots_in_use() >= self.max_connections && self.memory.is_waited_for()
+        self.table.slots_in_use() >= self.max_connections && self.memory.waiters_keep_slots()
     }
 
     /// Serves a connection, for which another one may be evicted, or refuses it.
