--- a/src/net/connections.rs
+++ b/src/net/connections.rs
@@ -232,8 +232,9 @@
         self.close_requested.borrow_mut().push(entry.clone());
     }
 
-    /// Moves the reservation of this connection's slot to another idle connection, which gets a close request.
-    /// Returns whether that was done. A connection that never sent a usable command keeps its reservation.
+    /// Moves the reservation of this connection's slot to another idle connection, which gets a close
+    /// request. Returns whether that was done. A connection that never sent a usable command keeps its
+    /// reservation.
     fn transfer_reservation(&self, holder: &Rc<Entry>) -> bool {
         if !holder.has_sent_command.get() {
             return false;
