--- a/src/broker/admission.rs
+++ b/src/broker/admission.rs
@@ -1,124 +1,127 @@
-//! What is asked of the front, and what of it is taken.
+//! Admission of requests.
 
-use super::attempts::Open;
+use super::attempts::OpenRequest;
 use super::{Answer, Broker, Caller, ClientRequest, Effect, timers};
 use crate::interface::{ClassId, Event, Request, RequestId};
 use crate::memory::Purpose;
 use std::rc::Rc;
 
-/// A client whose request came too late is to come again after this: its connection has closed by then (seconds).
-const RETRY_AFTER_CLOSE: f64 = 0.05;
+/// Retry delay of a request that arrives after the shutdown deadline: its connection is closed by then.
+const SHUTDOWN_RETRY_SECONDS: f64 = 0.05;
 
 impl Broker {
-    /// Takes a request from a front.
-    pub fn ask(&mut self, now: f64, caller: Caller, ask: impl Into<Rc<ClientRequest>>) {
-        let mut ask = ask.into();
+    /// Admits a request and hands it to the director, or answers it at once.
+    pub fn handle_request(&mut self, now: f64, caller: Caller, request: impl Into<Rc<ClientRequest>>) {
+        let mut request = request.into();
         self.counters.requests += 1;
-        // It has just come, and is nobody else's.
-        if let Some(ask) = Rc::get_mut(&mut ask) {
-            ask.deadline = ask.deadline.min(self.closes);
+        // The request has just arrived and has no other owner.
+        if let Some(request) = Rc::get_mut(&mut request) {
+            request.deadline = request.deadline.min(self.shutdown_deadline);
         }
-        // Its client left while it lay in the queue: nobody is owed anything.
-        if ask.gone.get() {
+        // The client disconnected or cancelled while the request was queued: no answer is needed.
+        if request.cancelled.get() {
             self.counters.aborted += 1;
             return;
         }
-        // Whoever asks too late for this process has time left for another.
-        if self.closes <= now {
-            return self.turn_away(caller, ask.class, Answer::Refused(RETRY_AFTER_CLOSE));
+        // The request is too late for this process, but its client has time left to retry at another.
+        if self.shutdown_deadline <= now {
+            return self.reject(caller, request.class, Answer::Refused(SHUTDOWN_RETRY_SECONDS));
         }
-        if ask.deadline <= now {
-            return self.turn_away(caller, ask.class, Answer::Late);
+        if request.deadline <= now {
+            return self.reject(caller, request.class, Answer::DeadlineExceeded);
         }
         #[cfg(feature = "planted")]
-        if crate::planted::refuses(ask.class.0) {
-            return self.turn_away(caller, ask.class, Answer::Refused(0.1));
+        if crate::planted::refuses(request.class.0) {
+            return self.reject(caller, request.class, Answer::Refused(0.1));
         }
-        if !self.contracts.covers(&ask) {
-            return self.turn_away(caller, ask.class, Answer::Forbidden);
+        if !self.contracts.covers(&request) {
+            return self.reject(caller, request.class, Answer::Forbidden);
         }
-        if !self.has_room() || self.callers.contains_key(&caller) {
+        if !self.reserve_tables() || self.callers.contains_key(&caller) {
             let wait = self.director.settings().max_wait;
-            return self.turn_away(caller, ask.class, Answer::Refused(wait));
+            return self.reject(caller, request.class, Answer::Refused(wait));
         }
-        if let Err(wait) = self.budgets.admit(now, ask.team) {
-            return self.turn_away(caller, ask.class, Answer::OverBudget(wait));
+        if let Err(wait) = self.budgets.admit(now, request.team) {
+            return self.reject(caller, request.class, Answer::OverBudget(wait));
         }
-        // Guards whoever asked first: under one name, one's answer could be taken for the other's.
-        if !self.calls.insert(ask.call.clone()) {
-            self.budgets.release(now, ask.team, 0);
-            return self.turn_away(caller, ask.class, Answer::Failed);
+        // Two open requests with one call id could receive each other's answers; the earlier one is kept.
+        if !self.open_calls.insert(request.call.clone()) {
+            self.budgets.release(now, request.team, 0);
+            return self.reject(caller, request.class, Answer::Failed);
         }
-        let id = self.fresh_id();
-        let request = Request {
+        let id = self.next_request_id();
+        let event = Event::Request(Request {
             id,
-            class: ask.class,
+            class: request.class,
             tenant: 0,
-            object: ask.object,
-            part: ask.part,
-            group: ask.group,
-            expires: ask.deadline,
-            kb: ask.kb,
-            repeat: ask.repeat,
+            object: request.object,
+            part: request.part,
+            group: request.group,
+            expires: request.deadline,
+            kb: request.size_kb,
+            repeat: request.is_retry,
             write: self
                 .director
                 .settings()
                 .classes
-                .get(usize::from(ask.class.0))
+                .get(usize::from(request.class.0))
                 .is_some_and(|c| c.never_kept),
-        };
-        self.timers.set(ask.deadline, timers::Timer::Deadline(id));
+        });
+        self.timers.set(request.deadline, timers::Timer::Deadline(id));
         self.callers.insert(caller, id);
-        let aim = now + self.aim(&ask);
-        self.open.insert(id, Open { caller, ask, aim, attempts: Vec::new(), done: false });
-        self.feed(now, Event::Request(request));
-        self.settle(now);
+        let aim = now + self.aim(&request);
+        self.open.insert(id, OpenRequest { caller, request, aim, attempts: Vec::new(), concluded: false });
+        self.dispatch(now, event);
+        self.drain_events(now);
     }
 
-    /// Is there memory for the tables with one more request? They grow by doubling, and are asked for before.
-    pub(super) fn has_room(&mut self) -> bool {
-        let [open, callers, calls] = [self.open.capacity(), self.callers.capacity(), self.calls.capacity()];
+    /// Reserves memory for the tables with one more request, before they grow, which they do by doubling.
+    /// Returns whether it was granted.
+    pub(super) fn reserve_tables(&mut self) -> bool {
+        let [open, callers, calls] = [self.open.capacity(), self.callers.capacity(), self.open_calls.capacity()];
         let grown = |capacity: usize, len: usize| if len < capacity { capacity } else { 2 * capacity.max(4) };
         let table = |slots: usize, entry: usize| slots * 8 / 7 * (entry + 1);
-        let bytes = table(grown(open, self.open.len()), size_of::<(RequestId, Open)>())
+        let bytes = table(grown(open, self.open.len()), size_of::<(RequestId, OpenRequest)>())
             + table(grown(callers, self.callers.len()), size_of::<(Caller, RequestId)>())
-            + table(grown(calls, self.calls.len()), size_of::<Box<str>>())
+            + table(grown(calls, self.open_calls.len()), size_of::<Box<str>>())
             + self.timers.footprint();
-        bytes == self.tables.bytes() || self.tables.resize(bytes).is_ok()
+        bytes == self.table_grant.bytes() || self.table_grant.resize(bytes).is_ok()
     }
 
-    /// Books what the director has learned, and has it forget what is worth least where there is no memory for it.
-    pub(super) fn book_learned(&mut self) {
+    /// Updates the account of what the director has learned, and has it evict the least valuable beliefs if
+    /// the memory is not granted.
+    pub(super) fn account_learned(&mut self) {
         let (fixed, beliefs) = self.director.footprint();
         let fixed = fixed + self.members.footprint();
         let cap = self.memory.accounts().plan().limits[Purpose::Learned as usize].cap;
         let wanted = (fixed + beliefs).min(cap);
-        if wanted == self.learned.bytes() {
+        if wanted == self.learned_grant.bytes() {
             return;
         }
-        // Beliefs grow only after they were granted what they want. Where that is refused, or what cannot be
-        // forgotten (nodes, purges) needs room, they make do with what is left.
-        let granted = self.learned.resize(wanted).is_ok();
-        let left = if granted { wanted } else { self.learned.bytes() };
+        // Beliefs grow only once the memory is granted. If it is refused, or if the fixed part (nodes,
+        // purges), which cannot be evicted, needs more, the beliefs are limited to what is left.
+        let granted = self.learned_grant.resize(wanted).is_ok();
+        let left = if granted { wanted } else { self.learned_grant.bytes() };
         self.director.hold_to(left.saturating_sub(fixed));
     }
 
-    /// Answers a request that the director never hears of.
-    pub(super) fn turn_away(&mut self, caller: Caller, class: ClassId, answer: Answer) {
-        self.figures.count(class, answer.count());
-        self.counters.answered(&answer);
+    /// Answers a request without handing it to the director.
+    pub(super) fn reject(&mut self, caller: Caller, class: ClassId, answer: Answer) {
+        self.metrics.count(class, answer.count());
+        self.counters.count_answer(&answer);
         self.counters.turned_away += 1;
         self.effects.push(Effect::Answer { caller, answer });
     }
 
-    /// How long its class aims for, by the size where that is told (seconds).
-    pub(super) fn aim(&self, ask: &ClientRequest) -> f64 {
+    /// Returns the time in which the class aims to answer the request, given its size if stated (seconds).
+    pub(super) fn aim(&self, request: &ClientRequest) -> f64 {
         let s = self.director.settings();
-        let sending = s.sending(ask.kb).unwrap_or(0.0);
-        s.classes.get(usize::from(ask.class.0)).map_or(f64::MAX, |c| c.aim + c.aim_stretch * sending)
+        let sending = s.sending(request.size_kb).unwrap_or(0.0);
+        s.classes.get(usize::from(request.class.0)).map_or(f64::MAX, |c| c.aim + c.aim_stretch * sending)
     }
 
-    pub(super) fn fresh_id(&mut self) -> RequestId {
+    /// Returns an id that no open request has.
+    pub(super) fn next_request_id(&mut self) -> RequestId {
         loop {
             self.next_id = self.next_id.wrapping_add(1);
             let id = RequestId(self.next_id);
--- a/src/broker/attempts.rs
+++ b/src/broker/attempts.rs
@@ -1,151 +1,158 @@
-//! The attempts of open requests: sent, taken back, ended, and whether another may follow.
+//! The attempts of open requests: sending, cancelling and ending them, and whether a further attempt may
+//! follow.
 
-use super::{Answer, Broker, Caller, ClientRequest, Command, Content, Effect, Order, Ticket, timers};
+use super::{Answer, Broker, Caller, ClientRequest, Command, Content, Effect, Order, AttemptId, timers};
 use crate::interface::*;
 use crate::membership::Membership;
 use std::cell::Cell;
 use std::rc::Rc;
 
+/// An attempt of an open request.
 pub(super) struct Attempt {
     pub(super) node: NodeId,
     pub(super) source: Option<NodeId>,
     pub(super) sent_at: f64,
-    pub(super) written: bool,
-    pub(super) out: bool,
-    /// Its time ran out, so that its withdrawal is a time-out.
+    pub(super) write_started: bool,
+    pub(super) in_flight: bool,
+    /// The attempt was cancelled because its time ran out, so that its outcome is a timeout.
     pub(super) timed_out: bool,
-    /// Taken back; its order sees that too.
-    pub(super) called_off: Rc<Cell<bool>>,
-    /// Its end proves that it did not run.
+    /// Whether the attempt is cancelled; shared with its order.
+    pub(super) cancelled: Rc<Cell<bool>>,
+    /// Whether its outcome proves that the node did not execute it.
     pub(super) never_ran: bool,
-    /// It was given up on the wire: how it ends once that is surely known to its node.
-    pub(super) abandoned: Option<Outcome>,
+    /// Outcome of an abandoned attempt, which stays in flight until its node has read the cancel or reset.
+    pub(super) abandoned_as: Option<Outcome>,
 }
 
 impl Attempt {
-    /// Takes it back; not if that was done before.
-    pub(super) fn call_off(&self) -> bool {
-        !self.called_off.replace(true)
+    /// Cancels the attempt; returns whether it was not cancelled before.
+    pub(super) fn cancel(&self) -> bool {
+        !self.cancelled.replace(true)
     }
 }
 
-pub(super) struct Open {
+/// A request that is not concluded, or that still has an attempt in flight.
+pub(super) struct OpenRequest {
     pub(super) caller: Caller,
-    pub(super) ask: Rc<ClientRequest>,
-    /// When it is answered as its class aims for.
+    pub(super) request: Rc<ClientRequest>,
+    /// Time by which its class aims to answer it (Unix seconds).
     pub(super) aim: f64,
     pub(super) attempts: Vec<Attempt>,
-    /// The final answer is out, or none is owed.
-    pub(super) done: bool,
+    /// Whether the final answer is sent, or none is needed any more.
+    pub(super) concluded: bool,
 }
 
 impl Broker {
-    /// Takes back unwritten attempts to a node, or with a source, that is not ready in the view (rule 3).
-    pub(super) fn recall_unready(&mut self) {
-        self.recall(|members, _, a| {
+    /// Cancels unwritten attempts whose node or source is not ready in the view (rule 3).
+    pub(super) fn cancel_unready(&mut self) {
+        self.cancel_unwritten(|members, _, a| {
             let ready = |id| members.state(id) == Some(NodeState::Ready);
             !ready(a.node) || a.source.is_some_and(|s| !ready(s))
         });
     }
 
-    /// Takes back unwritten attempts that `bears` names.
-    pub(super) fn recall(&mut self, bears: impl Fn(&Membership, &ClientRequest, &Attempt) -> bool) {
+    /// Cancels the unwritten attempts for which `affected` returns true.
+    pub(super) fn cancel_unwritten(&mut self, affected: impl Fn(&Membership, &ClientRequest, &Attempt) -> bool) {
         for (&request, open) in &mut self.open {
             for (i, a) in open.attempts.iter_mut().enumerate() {
-                if a.out && !a.written && bears(&self.members, &open.ask, a) && a.call_off() {
+                if a.in_flight && !a.write_started && affected(&self.members, &open.request, a) && a.cancel() {
                     self.counters.recalled += 1;
-                    let ticket = Ticket { request, attempt: i as u16 };
-                    self.effects.push(Effect::Command(Command::Cancel { ticket, node: a.node }));
+                    let attempt_id = AttemptId { request, attempt: i as u16 };
+                    self.effects.push(Effect::Command(Command::Cancel { attempt_id, node: a.node }));
                 }
             }
         }
     }
 
-    /// Marks a request as concluded, and cancels what is still out.
-    pub(super) fn call_off(&mut self, id: RequestId) {
+    /// Marks a request as concluded and cancels its attempt in flight.
+    pub(super) fn cancel_attempts(&mut self, id: RequestId) {
         let Some(open) = self.open.get_mut(&id) else { return };
-        open.done = true;
-        for (i, a) in open.attempts.iter().enumerate().filter(|(_, a)| a.out && a.call_off()) {
-            let ticket = Ticket { request: id, attempt: i as u16 };
-            self.effects.push(Effect::Command(Command::Cancel { ticket, node: a.node }));
+        open.concluded = true;
+        for (i, a) in open.attempts.iter().enumerate().filter(|(_, a)| a.in_flight && a.cancel()) {
+            let attempt_id = AttemptId { request: id, attempt: i as u16 };
+            self.effects.push(Effect::Command(Command::Cancel { attempt_id, node: a.node }));
         }
     }
 
-    /// An attempt was given up on the wire. Guards against two attempts out for one request: its node reads that on one
-    /// connection and the next attempt on another, or another node reads the next one, and nothing orders the two but
-    /// the time between them. Where there is no next attempt, nothing is waited for.
-    pub(super) fn abandoned(&mut self, now: f64, ticket: Ticket, outcome: Outcome, propagation: f64) {
+    /// Handles an attempt that was cancelled or reset on the wire. It stays in flight for the propagation
+    /// time, so that no two attempts of one request run at once: its node may read the cancel on one
+    /// connection after the next attempt is read on another, or by another node. If no further attempt may
+    /// follow, the attempt ends at once.
+    pub(super) fn handle_abandoned(&mut self, now: f64, attempt_id: AttemptId, outcome: Outcome, propagation: f64) {
         let classes = &self.director.settings().classes;
-        let closes = self.closes;
-        let again = self.open.get(&ticket.request).is_some_and(|o| {
-            let rules = classes.get(usize::from(o.ask.class.0));
-            let until = o.ask.deadline.min(closes).min(repeat_by(rules, &o.attempts));
-            !o.done && !o.ask.gone.get() && now < until
+        let shutdown_deadline = self.shutdown_deadline;
+        let may_retry = self.open.get(&attempt_id.request).is_some_and(|o| {
+            let rules = classes.get(usize::from(o.request.class.0));
+            let until = o.request.deadline.min(shutdown_deadline).min(retry_until(rules, &o.attempts));
+            !o.concluded && !o.request.cancelled.get() && now < until
         });
-        if again && let Some(a) = self.attempt(ticket).filter(|a| a.out) {
-            a.abandoned = Some(outcome);
-            let timer = timers::Timer::Propagated(ticket.request, ticket.attempt);
+        if may_retry && let Some(a) = self.attempt(attempt_id).filter(|a| a.in_flight) {
+            a.abandoned_as = Some(outcome);
+            let timer = timers::Timer::Propagated(attempt_id.request, attempt_id.attempt);
             return self.timers.set(now + propagation, timer);
         }
-        self.ended(now, ticket, outcome, Note::None, 0.0, None);
+        self.handle_attempt_end(now, attempt_id, outcome, Note::None, 0.0, None);
     }
 
-    /// An answer came that could not be held: the client hears at once, refused where its class lets a further try
-    /// be harmless. Another node's answer would find no more room, so that none is asked, and this one is not blamed.
-    pub(super) fn no_memory(&mut self, now: f64, ticket: Ticket) {
-        let Some(open) = self.open.get(&ticket.request).filter(|o| !o.done) else {
-            return self.ended(now, ticket, Outcome::Moot, Note::None, 0.0, None);
+    /// Handles an answer for which there is no memory: the client is answered at once, with a refusal if a
+    /// retry is safe in its class. There would be no memory for another node's answer either, so none is
+    /// asked. The node is not blamed.
+    pub(super) fn handle_no_memory(&mut self, now: f64, attempt_id: AttemptId) {
+        let Some(open) = self.open.get(&attempt_id.request).filter(|o| !o.concluded) else {
+            return self.handle_attempt_end(now, attempt_id, Outcome::Moot, Note::None, 0.0, None);
         };
         self.counters.no_memory += 1;
         let settings = self.director.settings();
-        let effect = settings.classes.get(usize::from(open.ask.class.0)).map(|c| c.effect);
+        let effect = settings.classes.get(usize::from(open.request.class.0)).map(|c| c.effect);
         let answer = match effect {
             Some(crate::interface::Effect::Safe | crate::interface::Effect::Keyed(Scope::All)) => {
                 Answer::Refused(settings.max_wait)
             }
             _ => Answer::Failed,
         };
-        if let Some(a) = self.attempt(ticket) {
-            a.call_off();
+        if let Some(a) = self.attempt(attempt_id) {
+            a.cancel();
         }
-        self.answer(now, ticket.request, answer);
-        self.ended(now, ticket, Outcome::Moot, Note::None, 0.0, None);
+        self.answer(now, attempt_id.request, answer);
+        self.handle_attempt_end(now, attempt_id, Outcome::Moot, Note::None, 0.0, None);
     }
 
-    pub(super) fn attempt(&mut self, ticket: Ticket) -> Option<&mut Attempt> {
-        self.open.get_mut(&ticket.request)?.attempts.get_mut(usize::from(ticket.attempt))
+    /// Returns the attempt with this id.
+    pub(super) fn attempt(&mut self, attempt_id: AttemptId) -> Option<&mut Attempt> {
+        self.open.get_mut(&attempt_id.request)?.attempts.get_mut(usize::from(attempt_id.attempt))
     }
 
-    pub(super) fn ended(
+    /// Handles the end of an attempt: answers the client if it was served, and reports it to the director.
+    pub(super) fn handle_attempt_end(
         &mut self,
         now: f64,
-        ticket: Ticket,
+        attempt_id: AttemptId,
         outcome: Outcome,
         note: Note,
         source_wait: f64,
         content: Option<Content>,
     ) {
-        let Some(a) = self.attempt(ticket).filter(|a| a.out) else { return };
-        a.out = false;
+        let Some(a) = self.attempt(attempt_id).filter(|a| a.in_flight) else { return };
+        a.in_flight = false;
         a.never_ran = outcome.never_ran();
         let outcome = match outcome {
             Outcome::Cancelled if a.timed_out => Outcome::TimedOut,
             other => other,
         };
         let (node, took) = (a.node, (now - a.sent_at).max(0.0));
-        self.counters.ended(outcome, note);
-        if self.open.get(&ticket.request).is_some_and(|o| o.ask.gone.get()) {
-            self.leave(now, ticket.request);
+        self.counters.count_attempt_end(outcome, note);
+        if self.open.get(&attempt_id.request).is_some_and(|o| o.request.cancelled.get()) {
+            self.cancel_request(now, attempt_id.request);
         }
         if let Some(content) = content.filter(|_| outcome == Outcome::Ok) {
-            self.answer(now, ticket.request, Answer::Served(content));
+            self.answer(now, attempt_id.request, Answer::Served(content));
         }
-        let done = self.open.get(&ticket.request).is_none_or(|o| o.done);
-        self.feed(
+        let done = self.open.get(&attempt_id.request).is_none_or(|o| o.concluded);
+        self.dispatch(
             now,
             Event::AttemptEnd {
-                request: ticket.request,
-                attempt: ticket.attempt,
+                request: attempt_id.request,
+                attempt: attempt_id.attempt,
                 node,
                 outcome,
                 took,
@@ -155,34 +162,34 @@
                 load: Vec::new(),
             },
         );
-        self.forget(ticket.request);
+        self.forget_if_finished(attempt_id.request);
     }
 
-    /// Whether its node has heard or not, an attempt that was given up on the wire has ended now.
-    pub(super) fn propagated(&mut self, now: f64, ticket: Ticket) {
-        if let Some(outcome) = self.attempt(ticket).and_then(|a| a.abandoned.take()) {
-            self.ended(now, ticket, outcome, Note::None, 0.0, None);
+    /// Ends an abandoned attempt, whose propagation time is over or need not be waited for.
+    pub(super) fn finish_abandoned(&mut self, now: f64, attempt_id: AttemptId) {
+        if let Some(outcome) = self.attempt(attempt_id).and_then(|a| a.abandoned_as.take()) {
+            self.handle_attempt_end(now, attempt_id, outcome, Note::None, 0.0, None);
         }
     }
 
-    /// Orders the attempt that a fetch asks for, or ends it at once where it may not go out.
-    pub(super) fn send(&mut self, now: f64, fetch: Action) {
+    /// Orders the attempt that a fetch asks for, or ends it at once if it may not be sent.
+    pub(super) fn send_attempt(&mut self, now: f64, fetch: Action) {
         let Action::Fetch { request, node, within, source, rank, age, options } = fetch else { return };
         let source = Some(source).filter(|s| *s != node);
         let Some(open) = self.open.get_mut(&request) else { return };
-        let rules = self.director.settings().classes.get(usize::from(open.ask.class.0));
-        let ticket = Ticket { request, attempt: open.attempts.len() as u16 };
-        let last = open.ask.deadline.min(self.closes);
-        let due = if within > 0.0 { (now + within).min(last) } else { last };
-        let begin_by = repeat_by(rules, &open.attempts);
-        let called_off = Rc::new(Cell::new(false));
-        // Never two attempts out for one request, none for one that is over, none to a node that drains, none that its
-        // class does not permit any more.
+        let rules = self.director.settings().classes.get(usize::from(open.request.class.0));
+        let attempt_id = AttemptId { request, attempt: open.attempts.len() as u16 };
+        let deadline = open.request.deadline.min(self.shutdown_deadline);
+        let due = if within > 0.0 { (now + within).min(deadline) } else { deadline };
+        let begin_by = retry_until(rules, &open.attempts);
+        let cancelled = Rc::new(Cell::new(false));
+        // At most one attempt is in flight per request. None is sent for a concluded or cancelled request, to
+        // a node or with a source that is not ready, or when the class permits no retry any more.
         let ready = |id: &NodeId| self.members.state(*id) == Some(NodeState::Ready);
-        let gone = open.ask.gone.get();
-        let may = !open.done
-            && open.attempts.iter().all(|a| !a.out)
-            && !gone
+        let client_gone = open.request.cancelled.get();
+        let allowed = !open.concluded
+            && open.attempts.iter().all(|a| !a.in_flight)
+            && !client_gone
             && now < due.min(begin_by)
             && ready(&node)
             && source.as_ref().is_none_or(ready);
@@ -190,22 +197,22 @@
             node,
             source,
             sent_at: now,
-            written: false,
-            out: may,
+            write_started: false,
+            in_flight: allowed,
             timed_out: false,
-            called_off: called_off.clone(),
+            cancelled: cancelled.clone(),
             never_ran: false,
-            abandoned: None,
+            abandoned_as: None,
         });
-        if !may {
-            if gone {
-                self.leave(now, request);
+        if !allowed {
+            if client_gone {
+                self.cancel_request(now, request);
             }
-            let done = self.open.get(&request).is_none_or(|o| o.done);
-            self.counters.ended(Outcome::Moot, Note::None);
-            return self.queue.push_back(Event::AttemptEnd {
+            let done = self.open.get(&request).is_none_or(|o| o.concluded);
+            self.counters.count_attempt_end(Outcome::Moot, Note::None);
+            return self.pending_events.push_back(Event::AttemptEnd {
                 request,
-                attempt: ticket.attempt,
+                attempt: attempt_id.attempt,
                 node,
                 outcome: Outcome::Moot,
                 took: 0.0,
@@ -216,18 +223,19 @@
             });
         }
         self.counters.sent += 1;
-        let class = self.class_names[usize::from(open.ask.class.0)].clone();
-        let ask = open.ask.clone();
-        if due < ask.deadline {
+        let class = self.class_names[usize::from(open.request.class.0)].clone();
+        let client_request = open.request.clone();
+        if due < client_request.deadline {
             self.timers.set(due, timers::Timer::Deadline(request));
         }
-        // With a limit on age only what is younger will do; else what the class's grace lets pass.
+        // The fetch's age limit applies if it has one, else the class's freshness lifetime plus its grace
+        // period.
         let never_kept = rules.is_some_and(|c| c.never_kept);
         let grace = rules.filter(|c| c.fresh > 0.0).map(|c| c.fresh + c.grace);
-        let oldest = if age > 0.0 { Some(age) } else { grace }.map_or(0.0, |limit| now - limit);
+        let min_created_at = if age > 0.0 { Some(age) } else { grace }.map_or(0.0, |limit| now - limit);
         let order = Order {
-            ticket,
-            ask,
+            attempt_id,
+            request: client_request,
             class,
             node,
             source,
@@ -235,19 +243,20 @@
             age,
             options,
             due,
-            oldest,
+            min_created_at,
             never_kept,
-            returned: 0,
-            called_off,
+            requeues: 0,
+            cancelled,
             begin_by,
         };
         self.effects.push(Effect::Command(Command::Send(order)));
     }
 }
 
-/// Until when a request may be sent once more, given what its earlier attempts may have done. An attempt's time here is
-/// that of its order, which is no later than its first byte.
-fn repeat_by(rules: Option<&crate::interface::Class>, attempts: &[Attempt]) -> f64 {
+/// Returns until when a further attempt may begin (Unix seconds), given which earlier attempts may have been
+/// executed. The idempotency key's lifetime counts from the order of an attempt, which is no later than its
+/// first byte.
+fn retry_until(rules: Option<&crate::interface::Class>, attempts: &[Attempt]) -> f64 {
     use crate::interface::Effect;
     let ran = attempts.iter().filter(|a| !a.never_ran);
     match rules.map(|c| (c.effect, c.key_ttl)) {
--- a/src/broker/counters.rs
+++ b/src/broker/counters.rs
@@ -1,4 +1,4 @@
-//! What was taken in, sent and answered.
+//! Counters of requests, attempts and answers.
 
 use super::Answer;
 use crate::interface::{Note, Outcome};
@@ -6,7 +6,7 @@
 
 macro_rules! counters {
     ($($(#[$doc:meta])* $name:ident,)*) => {
-        /// Plain sums since the start.
+        /// Totals since the start of the process.
         #[derive(Debug, Clone, Default, PartialEq, Eq)]
         pub struct Counters {
             $($(#[$doc])* pub $name: u64,)*
@@ -23,85 +23,85 @@
 }
 
 counters! {
-    /// Requests taken.
+    /// Requests received.
     requests,
-    /// Answered: served.
+    /// Answers: served.
     served,
-    /// Of these: the client's copy held.
+    /// Of the served: the client's copy was still valid.
     current,
-    /// Answered: refused.
+    /// Answers: refused.
     refused,
-    /// Answered: failed.
+    /// Answers: failed.
     failed,
-    /// Answered: failed, its time was up.
+    /// Answers: failed because the deadline passed.
     late,
-    /// Answered: a team's budget was spent.
+    /// Answers: refused because the team's budget was exhausted.
     over_budget,
-    /// Answered: no contract covers it.
+    /// Answers: refused because no contract covers the request.
     forbidden,
-    /// Of the answers: given before the director heard of the request.
+    /// Of the answers: given without handing the request to the director.
     turned_away,
-    /// Of the answers: refused by the director, which found no cache for the request, or none in time.
+    /// Of the answers: refused by the director, which found no cache node for the request, or none in time.
     refused_by_director,
-    /// Clients that stopped waiting.
+    /// Requests whose client disconnected or cancelled.
     aborted,
-    /// Requests whose answer came and could not be held.
+    /// Requests whose answer arrived when there was no memory for it.
     no_memory,
-    /// Attempts ordered.
+    /// Attempts handed to the connections.
     sent,
     /// Attempts whose write began.
     written,
-    /// Attempts taken back before their write, since news came that bear on them.
+    /// Attempts cancelled before their write because of a discovery update or cordon that affects them.
     recalled,
     /// Attempts that ended: served.
     ok,
-    /// Nothing suitable held.
+    /// Attempts that ended: the node had no suitable copy.
     miss,
-    /// Not taken.
+    /// Attempts that ended: the node was full.
     full,
-    /// An error.
+    /// Attempts that ended: error.
     error,
-    /// No answer in time.
+    /// Attempts that ended: no answer in time.
     timed_out,
-    /// No connection.
+    /// Attempts that ended: no connection could be made.
     connect_failed,
-    /// The connection broke.
+    /// Attempts that ended: the connection was reset.
     reset,
-    /// Withdrawn.
+    /// Attempts that ended: cancelled on the wire.
     cancelled,
-    /// Never sent.
+    /// Attempts that ended: never sent.
     moot,
-    /// Served from what was held.
+    /// Attempts served from a stored copy.
     hits,
-    /// Served by a fill.
+    /// Attempts served by a fill.
     fills,
-    /// Bytes served.
+    /// Bytes of the answers served.
     bytes,
-    /// Lists and changes of lists heard.
+    /// Node lists received, full and incremental.
     lists,
-    /// Purges heard.
+    /// Purges received.
     purges,
 }
 
 impl Counters {
     /// Counts a final answer.
-    pub fn answered(&mut self, answer: &Answer) {
+    pub fn count_answer(&mut self, answer: &Answer) {
         match answer {
             Answer::Served(content) => {
                 self.served += 1;
-                self.current += u64::from(content.current);
+                self.current += u64::from(content.not_modified);
                 self.bytes += content.body.len() as u64;
             }
             Answer::Refused(_) => self.refused += 1,
             Answer::Failed => self.failed += 1,
-            Answer::Late => self.late += 1,
+            Answer::DeadlineExceeded => self.late += 1,
             Answer::OverBudget(_) => self.over_budget += 1,
             Answer::Forbidden => self.forbidden += 1,
         }
     }
 
     /// Counts the end of an attempt.
-    pub fn ended(&mut self, outcome: Outcome, note: Note) {
+    pub fn count_attempt_end(&mut self, outcome: Outcome, note: Note) {
         match outcome {
             Outcome::Ok => self.ok += 1,
             Outcome::Miss => self.miss += 1,
--- a/src/broker/messages.rs
+++ b/src/broker/messages.rs
@@ -1,6 +1,7 @@
-//! What the core hears from fronts, cache connections and the list, and what it has them do.
+//! The messages that the broker exchanges with the client connections, the connections to cache nodes and
+//! discovery.
 
-use super::figures::Count;
+use super::metrics::Count;
 use super::tenants::TeamId;
 use crate::interface::*;
 use crate::memory::{AccountOwner, Grant, Ledger, Purpose, Refused};
@@ -9,272 +10,278 @@
 use std::rc::Rc;
 use tokio::sync::mpsc::UnboundedSender;
 
-/// A member of the list with where it listens.
+/// A listed node with its address.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Member {
-    /// As the director knows it.
+    /// The node as the director sees it.
     pub node: Node,
-    /// Where it listens. The address of a node that has gone may belong to a new one.
+    /// The address that the node listens on. The address of a removed node may be reused by a new one.
     pub address: SocketAddr,
 }
 
-/// News of the world, in order.
+/// An update of discovery. Updates are applied in the order in which they arrive.
 #[derive(Debug, Clone, PartialEq)]
-pub enum News {
-    /// The whole list, or what has changed in it.
-    Roster {
-        /// Who is absent is gone.
+pub enum DiscoveryUpdate {
+    /// The whole list of nodes, or the entries that changed.
+    NodeList {
+        /// Whether the list is complete, so that nodes absent from it are removed.
         full: bool,
         /// The entries.
         members: Vec<Member>,
     },
-    /// Older copies are out of date.
+    /// Copies made before the purge are stale.
     Purge {
-        /// The object; none: the whole group.
+        /// The object; `None` purges the whole group.
         object: Option<ObjectId>,
         /// The group.
         group: GroupId,
-        /// When the purge was made, in Unix seconds.
+        /// Time of the purge (Unix seconds).
         at: f64,
     },
 }
 
-/// What a request takes of the open tables, the queues between tasks and the timers until it is answered, in
-/// whole and rounded up: its entries here and at the director, its attempts, its order and its reports (bytes).
-pub const REQUEST: usize = 2048;
+/// Memory that a request takes until it is answered, rounded up: its entries in the tables here and at the
+/// director, its timers, its attempts, and its order and reports in the queues between tasks.
+pub const REQUEST_OVERHEAD_BYTES: usize = 2048;
 
-/// What a front asks, whatever its wire.
+/// A client's request, independent of the protocol that it arrived by.
 #[derive(Debug, Default, PartialEq)]
 pub struct ClientRequest {
-    /// The class.
+    /// Its class.
     pub class: ClassId,
-    /// The object as the director knows it.
+    /// The object's id in the director.
     pub object: ObjectId,
     /// The part of the object.
     pub part: u32,
-    /// The group of the object.
+    /// The group that the object belongs to, for purges.
     pub group: GroupId,
-    /// Size in KB, 0 where not told.
-    pub kb: f64,
-    /// When the answer must be out, in Unix seconds.
+    /// Size of the answer in KB; 0 if the client did not state it.
+    pub size_kb: f64,
+    /// Time by which the answer must be sent (Unix seconds).
     pub deadline: f64,
-    /// A client's repeat.
-    pub repeat: bool,
-    /// Whose request it is, where teams are configured.
+    /// Whether the client sends this request again after an earlier try.
+    pub is_retry: bool,
+    /// The team that the request belongs to, if teams are configured.
     pub team: Option<TeamId>,
-    /// Where the object lies in the teams' name space, on a wire that has paths.
+    /// The object's path in the teams' name space, if the protocol has paths.
     pub path: Option<Box<str>>,
-    /// Names this try on the caches' wire.
+    /// Identifies the request in the protocol of the cache nodes.
     pub call: Box<str>,
-    /// The object on the caches' wire.
+    /// The object's name in the protocol of the cache nodes.
     pub asset: Box<str>,
     /// Idempotency key.
     pub key: Option<Box<str>>,
-    /// The bare tag of the client's copy.
-    pub have: Option<Box<str>>,
-    /// What a write carries.
+    /// The ETag of the client's copy, without quotes.
+    pub client_etag: Option<Box<str>>,
+    /// The body, for a request that carries one.
     pub body: Vec<u8>,
-    /// Memory of the request and of its body, until it is over.
-    pub held: [Grant; 2],
-    /// Bytes that its client has left unread, where it reads more than one answer.
-    pub reader: Option<Rc<Cell<usize>>>,
-    /// Its client has left, or cancelled it: set by whoever reads that, so that nothing more is sent for it however long
-    /// the word of it takes.
-    pub gone: Rc<Cell<bool>>,
+    /// Memory granted for the request and for its body, held until the request is finished.
+    pub memory_grants: [Grant; 2],
+    /// Bytes of earlier answers that the client has not read yet, on a connection that carries several
+    /// requests.
+    pub unread_bytes: Option<Rc<Cell<usize>>>,
+    /// Set by the client's connection when the client disconnects or cancels the request, so that nothing
+    /// more is sent for the request even before the abort reaches the broker.
+    pub cancelled: Rc<Cell<bool>>,
 }
 
 impl ClientRequest {
-    /// Takes memory for the request and for a body of so many bytes. `precious` ones may have the reserve.
-    pub fn hold(&mut self, memory: &Ledger, precious: bool, body: usize) -> Result<(), Refused> {
+    /// Reserves memory for the request and for a body of `body` bytes. A `precious` request may use the
+    /// reserve.
+    pub fn reserve_memory(&mut self, memory: &Ledger, precious: bool, body: usize) -> Result<(), Refused> {
         let holder = |purpose| AccountOwner { purpose, team: self.team, precious };
-        if !memory.admits(REQUEST + body, precious) {
+        if !memory.admits(REQUEST_OVERHEAD_BYTES + body, precious) {
             return Err(memory.refuse(Purpose::Waiting));
         }
-        self.held =
-            [memory.ask(holder(Purpose::Waiting), REQUEST)?, memory.ask(holder(Purpose::Bodies), body)?];
+        self.memory_grants =
+            [memory.ask(holder(Purpose::Waiting), REQUEST_OVERHEAD_BYTES)?, memory.ask(holder(Purpose::Bodies), body)?];
         Ok(())
     }
 }
 
-/// The final answer.
+/// The final answer to a request.
 #[derive(Debug, PartialEq)]
 pub enum Answer {
-    /// Served: a whole answer of a cache node, unchanged.
+    /// Served: the complete answer of a cache node, unchanged.
     Served(Content),
-    /// Refused: a further try is harmless, after so many seconds.
+    /// Refused: a retry is safe after this many seconds.
     Refused(f64),
-    /// Failed; it may have run.
+    /// Failed; the request may have been executed.
     Failed,
-    /// Failed: its time has passed.
-    Late,
-    /// Refused: the team's budget is spent for so many seconds.
+    /// Failed: the deadline has passed.
+    DeadlineExceeded,
+    /// Refused: the team's budget is exhausted for this many seconds.
     OverBudget(f64),
-    /// Refused: no contract covers it.
+    /// Refused: no contract covers the request.
     Forbidden,
 }
 
 impl Answer {
-    /// What operators count it as.
+    /// The counter that the answer is counted under.
     pub fn count(&self) -> Count {
         match self {
             Answer::Served(_) => Count::Success,
             Answer::Refused(_) | Answer::OverBudget(_) => Count::Busy,
-            Answer::Failed | Answer::Late | Answer::Forbidden => Count::Failure,
+            Answer::Failed | Answer::DeadlineExceeded | Answer::Forbidden => Count::Failure,
         }
     }
 }
 
-/// What a cache node made.
+/// The content of a cache node's answer.
 #[derive(Debug, Default, PartialEq)]
 pub struct Content {
     /// The bytes.
     pub body: Vec<u8>,
-    /// The tag of the copy.
+    /// The ETag of the copy.
     pub etag: Box<str>,
-    /// The client's copy is the one; there are no bytes.
-    pub current: bool,
-    /// Memory of the bytes, until the client has them.
+    /// Whether the client's copy is still valid; the body is empty then.
+    pub not_modified: bool,
+    /// Memory granted for the bytes, held until they are sent to the client.
     pub grant: Grant,
 }
 
-/// Who asked: a connection of a front, and the tag of the request there.
+/// Identifies a client's request: the client connection, and the request's tag on it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Caller {
-    /// The connection.
+    /// Id of the connection.
     pub connection: u64,
-    /// The request on it.
+    /// Tag of the request on the connection.
     pub tag: u64,
 }
 
-/// From a front to the broker.
+/// Message from a client connection to the broker.
 #[derive(Debug)]
 pub enum Input {
-    /// A request was taken; exactly one answer is owed, unless it is aborted.
-    Ask {
-        /// Who asks.
+    /// A request, to which exactly one answer is sent unless it is aborted.
+    Request {
+        /// Where the request came from.
         caller: Caller,
-        /// What.
-        ask: Rc<ClientRequest>,
-        /// Where the answer goes. A connection has few requests open, which bounds its queue.
+        /// The request.
+        request: Rc<ClientRequest>,
+        /// Receives the answer. The limit on open requests per connection bounds this queue.
         reply: UnboundedSender<(u64, Answer)>,
     },
-    /// The client stopped waiting; no answer is owed.
+    /// The client no longer waits for the request; no answer is sent.
     Abort(Caller),
 }
 
-/// One attempt on its way: the request and the number of the attempt.
+/// Identifies an attempt: its request, and its number within the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct Ticket {
+pub struct AttemptId {
     /// The request.
     pub request: RequestId,
-    /// The attempt, from 0.
+    /// Number of the attempt, from 0.
     pub attempt: u16,
 }
 
 /// An attempt to be written to a cache node.
 #[derive(Debug, Clone)]
 pub struct Order {
-    /// Names it in reports.
-    pub ticket: Ticket,
-    /// What is asked.
-    pub ask: Rc<ClientRequest>,
-    /// The class as the wire names it.
+    /// Identifies the attempt in reports.
+    pub attempt_id: AttemptId,
+    /// The client's request.
+    pub request: Rc<ClientRequest>,
+    /// The class's name in the protocol of the cache nodes.
     pub class: Rc<str>,
-    /// Whom to ask.
+    /// The node to send it to.
     pub node: NodeId,
-    /// Where a miss is filled from; none: no fill.
+    /// The node that a miss is filled from; `None`: no fill.
     pub source: Option<NodeId>,
-    /// Rank at which the copy is kept.
+    /// Retention rank of the copy.
     pub rank: u8,
-    /// Oldest copy that will do, in seconds; 0: the class's fresh time.
+    /// Maximum age of an acceptable copy (seconds); 0: the class's freshness lifetime.
     pub age: f64,
-    /// Further options.
+    /// Further options of the fill.
     pub options: FillOptions,
-    /// It is not waited for longer, in Unix seconds.
+    /// Time at which the attempt times out (Unix seconds).
     pub due: f64,
-    /// A copy made before is too old to be served, in Unix seconds.
-    pub oldest: f64,
-    /// What it gives is no copy of anything.
+    /// A copy made before this time is too old to be served (Unix seconds).
+    pub min_created_at: f64,
+    /// Whether the answer is never stored by caches, as that to a write.
     pub never_kept: bool,
-    /// How often it came back from a connection that ended before its write.
-    pub returned: u8,
-    /// It is not sent any more: told here as it is decided, whatever queue the order is in.
-    pub called_off: Rc<Cell<bool>>,
-    /// A further attempt that its class permits only so long after an earlier one begins by then (Unix seconds).
+    /// How often the order was requeued because a connection ended before the write began.
+    pub requeues: u8,
+    /// Set as soon as the attempt is cancelled, so that it is not sent whichever queue it is in.
+    pub cancelled: Rc<Cell<bool>>,
+    /// Latest time at which the write may begin (Unix seconds), for a class that permits a retry only within
+    /// a window after an earlier attempt.
     pub begin_by: f64,
 }
 
 impl Order {
-    /// May its first byte go out now? Asked last, by whoever writes it.
+    /// Returns whether the first byte may be written now. Checked directly before the write.
     pub fn may_be_sent(&self, now: f64) -> bool {
-        now < self.due.min(self.begin_by) && !self.called_off.get() && !self.ask.gone.get()
+        now < self.due.min(self.begin_by) && !self.cancelled.get() && !self.request.cancelled.get()
     }
 }
 
-/// From the broker to the cache connections.
+/// Command from the broker to the connections to cache nodes.
 #[derive(Debug)]
 pub enum Command {
-    /// Write it, on any connection to its node.
+    /// Write the attempt on any connection to its node.
     Send(Order),
-    /// Take it back: unsent if its write has not begun, else cancelled on the wire. Its end is reported.
+    /// Cancel the attempt: dropped if its write has not begun, else cancelled on the wire. Its end is
+    /// reported.
     Cancel {
-        /// Which.
-        ticket: Ticket,
-        /// Its node.
+        /// The attempt.
+        attempt_id: AttemptId,
+        /// The node that it was sent to.
         node: NodeId,
     },
-    /// The list has changed.
-    Roster {
-        /// Who is absent is gone.
+    /// The list of nodes has changed.
+    NodeList {
+        /// Whether the list is complete, so that nodes absent from it are removed.
         full: bool,
         /// The entries.
         members: Vec<Member>,
     },
 }
 
-/// From the cache connections to the broker.
+/// Report from the connections to cache nodes to the broker.
 #[derive(Debug, PartialEq)]
 pub enum Report {
-    /// Its write has begun; from here on only proof says that it did not run.
-    Written(Ticket),
-    /// It has ended.
-    Ended {
-        /// Which.
-        ticket: Ticket,
-        /// How; `Moot` if it was taken back unsent, `Cancelled` if on the wire.
+    /// The write has begun. From here on the attempt counts as executed unless its outcome proves otherwise.
+    WriteStarted(AttemptId),
+    /// The attempt has ended.
+    AttemptEnded {
+        /// The attempt.
+        attempt_id: AttemptId,
+        /// Its outcome; `Moot` if it was cancelled before its write, `Cancelled` if on the wire.
         outcome: Outcome,
-        /// Where the content came from, or why not.
+        /// Where the content came from, or why there is none.
         note: Note,
-        /// Seconds that the node waited for the source.
+        /// Time that the node waited for the source (seconds).
         source_wait: f64,
-        /// What was served.
+        /// The content, if the attempt was served.
         content: Option<Content>,
     },
-    /// Its answer has begun to come, and waits here until there is memory for it: it is not lost.
-    HeldUp(Ticket),
-    /// It was answered, and there is no memory for the answer. That says nothing of the node.
-    NoMemory(Ticket),
-    /// It was given up on the wire, and its node may not have read that yet: it is out for a little longer.
+    /// The answer has begun to arrive and waits for memory in this process: the attempt is not stalled at its
+    /// node.
+    AwaitingMemory(AttemptId),
+    /// The attempt was answered, but there is no memory for the answer. The node is not at fault.
+    NoMemory(AttemptId),
+    /// The attempt was cancelled or reset on the wire. Its node may not have read that yet, so the attempt
+    /// stays in flight for the propagation time.
     Abandoned {
-        /// Which.
-        ticket: Ticket,
+        /// The attempt.
+        attempt_id: AttemptId,
         /// `Cancelled`, or `Reset` with its connection.
         outcome: Outcome,
-        /// Its node has surely read that after so long (seconds).
+        /// Time after which the node has read the cancel or reset (seconds).
         propagation: f64,
     },
 }
 
-/// What the core wants done outside.
+/// An action that the broker asks its task to carry out.
 #[derive(Debug)]
 pub enum Effect {
-    /// For the cache connections.
+    /// A command for the connections to cache nodes.
     Command(Command),
-    /// For a caller.
+    /// An answer for a client.
     Answer {
-        /// Whose.
+        /// The client's request.
         caller: Caller,
-        /// What.
+        /// The answer.
         answer: Answer,
     },
 }
--- a/src/broker/figures.rs
+++ b/src/broker/metrics.rs
@@ -1,64 +1,65 @@
-//! The figures that operators read on their socket: counts since the start of the process, bumped where they
-//! happen, and gauges that the broker publishes. Cells on the one thread, so that reading them waits for nobody.
+//! The metrics that operators read on their socket: counters since the start of the process, incremented
+//! where the event happens, and gauges that the broker publishes. They are cells on the one thread, so
+//! reading them never blocks.
 
 use crate::interface::ClassId;
 use std::cell::Cell;
 use std::fmt::Write;
 use std::rc::Rc;
 
-/// What a count is of.
+/// The kinds of counters.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Count {
     /// A request served.
     Success = 0,
-    /// A request refused: a further try is harmless.
+    /// A request refused: a retry is safe.
     Busy = 1,
     /// A request failed.
     Failure = 2,
-    /// An attempt written whole to a cache node.
+    /// An attempt whose write to a cache node began.
     BackendCall = 3,
-    /// A request served, but later than its class aims for; counted beside its success.
+    /// A request served later than its class aims for; counted in addition to `Success`.
     Slow = 4,
 }
 
-/// How many there are.
-const ALL: usize = 5;
+/// Number of kinds of counters.
+const COUNT_KINDS: usize = 5;
 
-/// The names of the counts, in the order of [`Count`].
-const COUNTS: [(&str, &str); 4] = [
+/// Names and help texts of the counters that [`Metrics::render`] prints, in the order of [`Count`].
+const RENDERED_COUNTERS: [(&str, &str); 4] = [
     ("front_success", "Requests served, by class."),
     ("front_busy", "Requests refused (a further try is harmless), by class."),
     ("front_failure", "Requests failed, by class."),
     ("front_backend_calls", "Attempts written whole to cache nodes, by class."),
 ];
 
-/// The gauges: requests taken and not ended, cache nodes listed, and of those the ones avoided.
+/// The gauges' values at one time.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Gauges {
-    /// Requests taken and not ended.
+    /// Requests received and not answered yet.
     pub inflight: u64,
-    /// Nodes on the list.
+    /// Cache nodes on the list.
     pub hosts_listed: u64,
-    /// Nodes on the list that are avoided: draining, cordoned or blamed.
+    /// Of these, the ones avoided: draining, cordoned or blamed.
     pub hosts_down: u64,
 }
 
-/// Counts by class and gauges.
+/// Counters by class, and gauges.
 #[derive(Debug)]
-pub struct Figures {
+pub struct Metrics {
     classes: Vec<Rc<str>>,
-    counts: Vec<[Cell<u64>; ALL]>,
+    counts: Vec<[Cell<u64>; COUNT_KINDS]>,
     gauges: Cell<Gauges>,
 }
 
-impl Figures {
-    /// All zero, for classes of these names.
+impl Metrics {
+    /// Creates metrics with all values zero, for classes of these names.
     pub fn new(classes: Vec<Rc<str>>) -> Rc<Self> {
         let counts = classes.iter().map(|_| Default::default()).collect();
-        Rc::new(Figures { classes, counts, gauges: Cell::default() })
+        Rc::new(Metrics { classes, counts, gauges: Cell::default() })
     }
 
-    /// Counts one of a class. A class that is not known is not counted: no class can be named for it.
+    /// Increments a counter of a class. An unknown class is ignored: there is no label for it.
     pub fn count(&self, class: ClassId, count: Count) {
         if let Some(cells) = self.counts.get(usize::from(class.0)) {
             let cell = &cells[count as usize];
@@ -66,13 +67,13 @@
         }
     }
 
-    /// Publishes the gauges.
+    /// Sets the gauges.
     pub fn publish(&self, gauges: Gauges) {
         self.gauges.set(gauges);
     }
 
-    /// Requests served later than their classes aim for, in the same format. It is a call of its own: what reads
-    /// `render` expects what that has had from the start.
+    /// Renders the counter of requests served later than their classes aim for, in the same format. It is
+    /// kept apart from `render`, whose readers expect a fixed set of series.
     pub fn render_slow(&self) -> String {
         let mut text = String::from(
             "# HELP front_slow Requests served later than their class aims for.\n# TYPE front_slow counter\n",
@@ -84,10 +85,11 @@
         text
     }
 
-    /// Prometheus' text format, version 0.0.4: each family with its help and type, one line a series.
+    /// Renders the Prometheus text format, version 0.0.4: each family with its help and type, one line per
+    /// series.
     pub fn render(&self) -> String {
         let mut text = String::with_capacity(256 * (self.classes.len() + 1));
-        for (i, (name, help)) in COUNTS.iter().enumerate() {
+        for (i, (name, help)) in RENDERED_COUNTERS.iter().enumerate() {
             let _ = writeln!(text, "# HELP {name} {help}\n# TYPE {name} counter");
             for (class, cells) in self.classes.iter().zip(&self.counts) {
                 let _ = writeln!(text, "{name}{{tier=\"{}\"}} {}", escape(class), cells[i].get());
@@ -110,7 +112,7 @@
     }
 }
 
-/// A label's value as the text format wants it.
+/// Escapes a label's value for the text format.
 fn escape(value: &str) -> String {
     value.replace('\\', "\\\\").replace('"', "\\\"").replace('\n', "\\n")
 }
@@ -121,14 +123,14 @@
 
     #[test]
     fn counts_by_class_and_publishes_gauges() {
-        let figures = Figures::new(vec!["media".into(), "pa\"ges".into()]);
-        figures.count(ClassId(0), Count::Success);
-        figures.count(ClassId(0), Count::Success);
-        figures.count(ClassId(1), Count::Busy);
-        figures.count(ClassId(1), Count::BackendCall);
-        figures.count(ClassId(9), Count::Failure);
-        figures.publish(Gauges { inflight: 4, hosts_listed: 12, hosts_down: 1 });
-        let text = figures.render();
+        let metrics = Metrics::new(vec!["media".into(), "pa\"ges".into()]);
+        metrics.count(ClassId(0), Count::Success);
+        metrics.count(ClassId(0), Count::Success);
+        metrics.count(ClassId(1), Count::Busy);
+        metrics.count(ClassId(1), Count::BackendCall);
+        metrics.count(ClassId(9), Count::Failure);
+        metrics.publish(Gauges { inflight: 4, hosts_listed: 12, hosts_down: 1 });
+        let text = metrics.render();
         let lines: Vec<&str> = text.lines().filter(|l| !l.starts_with('#')).collect();
         assert_eq!(
             lines,
@@ -147,9 +149,9 @@
             ]
         );
         assert_eq!(text.matches("# TYPE").count(), 7);
-        figures.count(ClassId(1), Count::Slow);
+        metrics.count(ClassId(1), Count::Slow);
         assert!(
-            figures
+            metrics
                 .render_slow()
                 .contains("front_slow{tier=\"media\"} 0\nfront_slow{tier=\"pa\\\"ges\"} 1\n")
         );
--- a/src/broker/mod.rs
+++ b/src/broker/mod.rs
@@ -1,10 +1,12 @@
-//! The core: it knows no wire and reads no clock. One task owns it, with the director and all tables; fronts,
-//! cache connections and the coordinator reach it by queue and hear of it by queue.
+//! The broker carries client requests from arrival to their final answer: it asks the director for decisions,
+//! orders attempts and answers clients. It does no I/O and reads no clock. One task owns it, with the
+//! director and all tables; client connections, connections to cache nodes and the coordinator exchange
+//! messages with that task by queues.
 
 mod admission;
 mod attempts;
 mod counters;
-mod figures;
+mod metrics;
 mod messages;
 #[cfg(test)]
 mod model;
@@ -13,75 +15,77 @@
 mod timers;
 
 pub use counters::Counters;
-pub use figures::{Count, Figures, Gauges};
+pub use metrics::{Count, Metrics, Gauges};
 pub use messages::{
-    Answer, Caller, ClientRequest, Command, Content, Effect, Input, Member, News, Order, REQUEST, Report,
-    Ticket,
+    Answer, Caller, ClientRequest, Command, Content, Effect, Input, Member, DiscoveryUpdate, Order, REQUEST_OVERHEAD_BYTES, Report,
+    AttemptId,
 };
-pub use run::{Close, Inputs, Operator, run};
+pub use run::{Shutdown, Inputs, OperatorRequest, run};
 pub use tenants::{Contracts, Team, TeamId};
 
 use crate::interface::*;
-use crate::membership::{Kept, Membership, OperatorOverride};
+use crate::membership::{SavedOverrides, Membership, OperatorOverride};
 use crate::memory::{AccountOwner, Grant, Ledger, Purpose};
 use crate::{Director, log};
-use attempts::Open;
+use attempts::OpenRequest;
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::collections::VecDeque;
 use std::rc::Rc;
 use timers::Timers;
 
-/// A connection confirms a withdrawal at once; without that for so long the request is failed (seconds).
-const CONFIRM: f64 = 0.02;
+/// A connection confirms a cancel at once. Without a confirmation within this time the request is failed.
+const CANCEL_CONFIRM_SECONDS: f64 = 0.02;
 
-/// The core's state.
+/// State of the broker.
 pub struct Broker {
     director: Director,
     class_names: Vec<Rc<str>>,
-    open: FxHashMap<RequestId, Open>,
+    open: FxHashMap<RequestId, OpenRequest>,
     callers: FxHashMap<Caller, RequestId>,
-    /// Names of what is open on the caches' wire, where two of one name could not be told apart.
-    calls: FxHashSet<Box<str>>,
+    /// Call ids of the open requests. They are unique: the protocol of the cache nodes tells requests apart
+    /// by them.
+    open_calls: FxHashSet<Box<str>>,
     contracts: Rc<Contracts>,
     budgets: tenants::Budgets,
-    /// Nodes in their last told state.
+    /// The listed nodes, with the operators' cordons applied.
     members: Membership,
     timers: Timers,
-    /// All that is taken is answered by then, in Unix seconds, once the program is told to end.
-    closes: f64,
+    /// Time by which every request is answered during shutdown (Unix seconds); infinite before.
+    shutdown_deadline: f64,
     next_id: u32,
     memory: Ledger,
-    /// The tables of what is open, and what the director has learned.
-    tables: Grant,
-    learned: Grant,
-    /// Events that follow from carrying out actions.
-    queue: VecDeque<Event>,
+    /// Memory of the tables of open requests.
+    table_grant: Grant,
+    /// Memory of what the director has learned.
+    learned_grant: Grant,
+    /// Events caused by executing actions, to be dispatched next.
+    pending_events: VecDeque<Event>,
     actions: Vec<Action>,
     effects: Vec<Effect>,
-    /// What was taken in, sent and answered.
+    /// Counters of requests, attempts and answers.
     pub counters: Counters,
-    /// What operators read.
-    figures: Rc<Figures>,
+    /// Metrics that operators read.
+    metrics: Rc<Metrics>,
 }
 
-/// What the core is set up with.
+/// What a broker is created from.
 pub struct Setup {
-    /// For random numbers.
+    /// Seed of the random numbers.
     pub seed: u64,
     /// The director's settings.
     pub settings: Settings,
     /// Names of the classes, in the settings' order.
     pub class_names: Vec<Rc<str>>,
-    /// What teams may ask for.
+    /// The teams' contracts.
     pub contracts: Rc<Contracts>,
-    /// What holds requests, tables and learned state.
+    /// The accounts of memory for requests, tables and learned state.
     pub memory: Ledger,
-    /// What operators read.
-    pub figures: Rc<Figures>,
+    /// Metrics that operators read.
+    pub metrics: Rc<Metrics>,
 }
 
 impl Broker {
-    /// A core that knows no nodes yet.
+    /// Creates a broker that knows no nodes yet.
     pub fn new(setup: Setup) -> Self {
         Broker {
             director: Director::new(setup.seed, setup.settings),
@@ -90,297 +94,305 @@
             contracts: setup.contracts,
             open: FxHashMap::default(),
             callers: FxHashMap::default(),
-            calls: FxHashSet::default(),
+            open_calls: FxHashSet::default(),
             members: Membership::default(),
             timers: Timers::default(),
-            closes: f64::INFINITY,
+            shutdown_deadline: f64::INFINITY,
             next_id: 0,
-            tables: setup.memory.empty(AccountOwner { precious: true, ..AccountOwner::of(Purpose::Waiting) }),
-            learned: setup.memory.empty(AccountOwner::of(Purpose::Learned)),
+            table_grant: setup.memory.empty(AccountOwner { precious: true, ..AccountOwner::of(Purpose::Waiting) }),
+            learned_grant: setup.memory.empty(AccountOwner::of(Purpose::Learned)),
             memory: setup.memory,
-            queue: VecDeque::new(),
+            pending_events: VecDeque::new(),
             actions: Vec::new(),
             effects: Vec::new(),
             counters: Counters::default(),
-            figures: setup.figures,
+            metrics: setup.metrics,
         }
     }
 
-    /// Publishes the gauges for operators; `waiting` requests are taken and still queued for the core.
+    /// Publishes the gauges for operators; `waiting` requests are still queued for the broker.
     pub fn publish(&self, now: f64, waiting: usize) {
         let avoided = |n: &Node| n.state != NodeState::Ready || self.director.avoids(now, n.id);
-        self.figures.publish(Gauges {
+        self.metrics.publish(Gauges {
             inflight: (self.callers.len() + waiting) as u64,
             hosts_listed: self.members.len() as u64,
             hosts_down: self.members.nodes().filter(avoided).count() as u64,
         });
     }
 
-    /// The program ends: whatever is open, or still comes, is answered by then, whatever time its client gives.
+    /// Begins shutdown: every open or later request is answered by `by`, even if its own deadline is later.
     pub fn answer_by(&mut self, by: f64) {
-        self.closes = by;
-        for (&id, _) in self.open.iter().filter(|(_, o)| !o.done && o.ask.deadline > by) {
+        self.shutdown_deadline = by;
+        for (&id, _) in self.open.iter().filter(|(_, o)| !o.concluded && o.request.deadline > by) {
             self.timers.set(by, timers::Timer::Deadline(id));
         }
     }
 
-    /// How many requests have no final answer yet.
+    /// Returns the number of requests without a final answer.
     pub fn pending(&self) -> usize {
         self.callers.len()
     }
 
-    /// Why the director chose the caches that it chose.
+    /// Returns the counts of the reasons for which the director chose nodes.
     pub fn reason_counts(&self) -> &crate::spread::ReasonCounts {
         self.director.reason_counts()
     }
 
-    /// The accounts that hold its requests.
+    /// Returns the accounts of memory.
     pub fn memory(&self) -> &Ledger {
         &self.memory
     }
 
-    /// Has it heard of any node?
+    /// Returns whether any node is listed.
     pub fn has_nodes(&self) -> bool {
         !self.members.is_empty()
     }
 
-    /// What is to be done outside, in order.
+    /// Takes the effects to be carried out by the caller, in order.
     pub fn effects(&mut self) -> std::vec::Drain<'_, Effect> {
         self.effects.drain(..)
     }
 
-    /// When the next timer is due.
+    /// Returns when the next timer is due (Unix seconds).
     pub fn next_timer(&self) -> Option<f64> {
         self.timers.next()
     }
 
-    /// Takes news. Attempts whose write has not begun are taken back if the news bear on them: a request
-    /// that waits for a connection must not go to a node that drains, or with an age limit from before a
-    /// purge (rules 3 and 5).
-    pub fn news(&mut self, now: f64, news: News, cached: bool) {
-        match news {
-            News::Roster { full, members } => {
+    /// Applies a discovery update. Cancels attempts that it affects and whose write has not begun: a request
+    /// that waits for a connection must not go to a draining node, nor carry an age limit from before a purge
+    /// (rules 3 and 5).
+    pub fn apply_update(&mut self, now: f64, update: DiscoveryUpdate, cached: bool) {
+        match update {
+            DiscoveryUpdate::NodeList { full, members } => {
                 self.counters.lists += 1;
                 let zones = self.director.settings().hub_of_zone.len();
-                let known = |m: &&Member| {
-                    let fine = usize::from(m.node.zone.0) < zones;
-                    if !fine {
-                        log!("node s-{:08x} is in no known zone and is left out", m.node.id.0);
+                let in_known_zone = |m: &&Member| {
+                    let known = usize::from(m.node.zone.0) < zones;
+                    if !known {
+                        log!("node s-{:08x} is in an unknown zone and is ignored", m.node.id.0);
                     }
-                    fine
+                    known
                 };
-                let members: Vec<Member> = members.iter().filter(known).copied().collect();
-                let told: Vec<Node> = members.iter().map(|m| m.node).collect();
-                let nodes = self.members.told(full, &told).into();
+                let members: Vec<Member> = members.iter().filter(in_known_zone).copied().collect();
+                let listed: Vec<Node> = members.iter().map(|m| m.node).collect();
+                let nodes = self.members.apply_list(full, &listed).into();
                 let kind = match (cached, full) {
                     (true, _) => ListKind::Cached,
                     (false, true) => ListKind::Full,
                     (false, false) => ListKind::Delta,
                 };
-                self.effects.push(Effect::Command(Command::Roster { full, members }));
-                self.feed(now, Event::List { kind, nodes });
-                self.recall_unready();
+                self.effects.push(Effect::Command(Command::NodeList { full, members }));
+                self.dispatch(now, Event::List { kind, nodes });
+                self.cancel_unready();
             }
-            News::Purge { object, group, at } => {
+            DiscoveryUpdate::Purge { object, group, at } => {
                 self.counters.purges += 1;
-                self.feed(now, Event::Purged { object, group, age: (now - at).max(0.0) });
-                self.recall(|_, ask, _| object.map_or(ask.group == group, |o| ask.object == o));
+                self.dispatch(now, Event::Purged { object, group, age: (now - at).max(0.0) });
+                self.cancel_unwritten(|_, request, _| {
+                    object.map_or(request.group == group, |o| request.object == o)
+                });
             }
         }
-        self.settle(now);
+        self.drain_events(now);
     }
 
-    /// Carries out an operator's call: a cordon is in force, and the director has heard of it, before anything
-    /// later is decided. What is to be said, or why it is refused.
-    pub fn hand(&mut self, now: f64, hand: OperatorOverride) -> Result<String, String> {
-        let (said, changed) = self.members.hand(now, hand)?;
-        log!("by hand: {said}");
-        self.seen(now, changed.into_iter().collect());
-        Ok(said)
+    /// Applies an operator's cordon or uncordon. It is in force at the director before any later decision.
+    /// Returns the message for the operator, or why the call is refused.
+    pub fn apply_override(&mut self, now: f64, action: OperatorOverride) -> Result<String, String> {
+        let (message, changed) = self.members.apply_override(now, action)?;
+        log!("operator: {message}");
+        self.apply_view_changes(now, changed.into_iter().collect());
+        Ok(message)
     }
 
-    /// Takes in what another process of this front kept, or its predecessor.
-    pub fn take_kept(&mut self, now: f64, kept: &Kept) {
-        let changed = self.members.take(now, kept);
+    /// Applies the overrides that another process of this front, or its predecessor, saved.
+    pub fn restore_overrides(&mut self, now: f64, saved: &SavedOverrides) {
+        let changed = self.members.restore(now, saved);
         if !changed.is_empty() {
-            log!("cordons as kept: {} cordoned, {} nodes changed", kept.cordoned.len(), changed.len());
+            log!("cordons restored: {} cordoned, {} nodes changed", saved.cordoned.len(), changed.len());
         }
-        self.seen(now, changed);
+        self.apply_view_changes(now, changed);
     }
 
-    /// What is kept for a successor: cordons, and nodes put back while they may still be cold.
-    pub fn kept(&self, now: f64) -> Kept {
+    /// Returns the overrides to save for a successor: cordons, and nodes uncordoned so recently that they may
+    /// be cold.
+    pub fn saved_overrides(&self, now: f64) -> SavedOverrides {
         let s = self.director.settings();
-        self.members.kept(now, s.cold_for.max(s.parent_cold_for))
+        self.members.saved_overrides(now, s.cold_for.max(s.parent_cold_for))
     }
 
-    /// Tells the director of nodes whose view changed, and takes back what waits for one that is no longer ready.
-    fn seen(&mut self, now: f64, changed: Vec<Node>) {
+    /// Hands the director the nodes whose view changed, and cancels unwritten attempts to those no longer
+    /// ready.
+    fn apply_view_changes(&mut self, now: f64, changed: Vec<Node>) {
         if changed.is_empty() {
             return;
         }
-        self.feed(now, Event::List { kind: ListKind::Delta, nodes: changed.into() });
-        self.recall_unready();
-        self.settle(now);
+        self.dispatch(now, Event::List { kind: ListKind::Delta, nodes: changed.into() });
+        self.cancel_unready();
+        self.drain_events(now);
     }
 
-    /// The client no longer waits. What is out for it is cancelled.
+    /// Handles a client that no longer waits: cancels the attempt in flight.
     pub fn abort(&mut self, now: f64, caller: Caller) {
         let Some(&id) = self.callers.get(&caller) else { return };
-        self.leave(now, id);
-        self.feed(now, Event::Expired { request: id });
-        self.forget(id);
-        self.settle(now);
+        self.cancel_request(now, id);
+        self.dispatch(now, Event::Expired { request: id });
+        self.forget_if_finished(id);
+        self.drain_events(now);
     }
 
-    /// Nobody waits for this request any more, whether the word of that has come or is still on its way: no answer is
-    /// owed, nothing further is sent, and what is out is cancelled.
-    fn leave(&mut self, now: f64, id: RequestId) {
-        let Some(open) = self.open.get(&id).filter(|o| !o.done) else { return };
-        let (caller, team) = (open.caller, open.ask.team);
+    /// Concludes a request whose client has disconnected or cancelled it, also before its abort arrives: no
+    /// answer and no further attempt is sent, and the attempt in flight is cancelled.
+    fn cancel_request(&mut self, now: f64, id: RequestId) {
+        let Some(open) = self.open.get(&id).filter(|o| !o.concluded) else { return };
+        let (caller, team) = (open.caller, open.request.team);
         self.callers.remove(&caller);
         self.counters.aborted += 1;
         self.budgets.release(now, team, 0);
-        self.call_off(id);
+        self.cancel_attempts(id);
     }
 
-    /// Marks a request as concluded, cancels what is still out, forgets it when nothing is.
-    fn close(&mut self, id: RequestId) {
-        self.call_off(id);
-        self.forget(id);
+    /// Marks a request as concluded, cancels its attempt in flight, and removes it if there is none.
+    fn conclude(&mut self, id: RequestId) {
+        self.cancel_attempts(id);
+        self.forget_if_finished(id);
     }
 
-    fn forget(&mut self, id: RequestId) {
-        if self.open.get(&id).is_some_and(|o| o.done && o.attempts.iter().all(|a| !a.out))
+    /// Removes a concluded request once none of its attempts is in flight.
+    fn forget_if_finished(&mut self, id: RequestId) {
+        if self.open.get(&id).is_some_and(|o| o.concluded && o.attempts.iter().all(|a| !a.in_flight))
             && let Some(open) = self.open.remove(&id)
         {
-            self.calls.remove(&open.ask.call);
+            self.open_calls.remove(&open.request.call);
         }
     }
 
-    /// Gives the final answer.
+    /// Sends the final answer of a request.
     fn answer(&mut self, now: f64, id: RequestId, answer: Answer) {
-        let Some(open) = self.open.get(&id).filter(|o| !o.done) else { return };
-        let (caller, team) = (open.caller, open.ask.team);
-        self.figures.count(open.ask.class, answer.count());
+        let Some(open) = self.open.get(&id).filter(|o| !o.concluded) else { return };
+        let (caller, team) = (open.caller, open.request.team);
+        self.metrics.count(open.request.class, answer.count());
         if matches!(answer, Answer::Served(_)) && now > open.aim {
-            self.figures.count(open.ask.class, Count::Slow);
+            self.metrics.count(open.request.class, Count::Slow);
         }
         let bytes = if let Answer::Served(content) = &answer { content.body.len() } else { 0 };
         self.budgets.release(now, team, bytes);
         self.callers.remove(&caller);
-        self.counters.answered(&answer);
+        self.counters.count_answer(&answer);
         self.effects.push(Effect::Answer { caller, answer });
-        self.close(id);
+        self.conclude(id);
     }
 
-    /// Takes a report of the cache connections.
-    pub fn report(&mut self, now: f64, report: Report) {
+    /// Handles a report of the connections to cache nodes.
+    pub fn handle_report(&mut self, now: f64, report: Report) {
         match report {
-            Report::Written(ticket) => {
-                if let Some(open) = self.open.get_mut(&ticket.request)
-                    && let Some(a) = open.attempts.get_mut(usize::from(ticket.attempt))
+            Report::WriteStarted(attempt_id) => {
+                if let Some(open) = self.open.get_mut(&attempt_id.request)
+                    && let Some(a) = open.attempts.get_mut(usize::from(attempt_id.attempt))
                 {
-                    a.written = true;
+                    a.write_started = true;
                     self.counters.written += 1;
-                    self.figures.count(open.ask.class, Count::BackendCall);
+                    self.metrics.count(open.request.class, Count::BackendCall);
                 }
             }
-            Report::Ended { ticket, outcome, note, source_wait, content } => {
-                self.ended(now, ticket, outcome, note, source_wait, content);
+            Report::AttemptEnded { attempt_id, outcome, note, source_wait, content } => {
+                self.handle_attempt_end(now, attempt_id, outcome, note, source_wait, content);
             }
-            Report::HeldUp(Ticket { request, attempt }) => {
-                self.feed(now, Event::Streaming { request, attempt });
+            Report::AwaitingMemory(AttemptId { request, attempt }) => {
+                self.dispatch(now, Event::Streaming { request, attempt });
             }
-            Report::NoMemory(ticket) => self.no_memory(now, ticket),
-            Report::Abandoned { ticket, outcome, propagation } => {
-                self.abandoned(now, ticket, outcome, propagation)
+            Report::NoMemory(attempt_id) => self.handle_no_memory(now, attempt_id),
+            Report::Abandoned { attempt_id, outcome, propagation } => {
+                self.handle_abandoned(now, attempt_id, outcome, propagation)
             }
         }
-        self.settle(now);
+        self.drain_events(now);
     }
 
-    /// Fires what is due.
-    pub fn tick(&mut self, now: f64) {
+    /// Fires all timers that are due.
+    pub fn fire_timers(&mut self, now: f64) {
         while let Some(timer) = self.timers.due(now) {
             match timer {
-                timers::Timer::Alarm(token) => self.feed(now, Event::Alarm { token }),
-                timers::Timer::Deadline(id) => self.overdue(now, id),
+                timers::Timer::Alarm(token) => self.dispatch(now, Event::Alarm { token }),
+                timers::Timer::Deadline(id) => self.handle_deadline(now, id),
                 timers::Timer::Propagated(request, attempt) => {
-                    self.propagated(now, Ticket { request, attempt })
+                    self.finish_abandoned(now, AttemptId { request, attempt })
                 }
             }
         }
-        self.settle(now);
+        self.drain_events(now);
     }
 
-    /// A request's time is up: its attempt is withdrawn as timed out, and the director answers when it hears
-    /// of that. One that the director holds without an attempt is failed here, so that none goes unanswered.
-    fn overdue(&mut self, now: f64, id: RequestId) {
-        let Some(open) = self.open.get(&id).filter(|o| !o.done) else { return };
-        // No further attempt may go: whether the node has heard of the last is nothing to wait for any more.
-        if now >= open.ask.deadline.min(self.closes)
-            && let Some(i) = open.attempts.iter().position(|a| a.abandoned.is_some())
+    /// Handles the deadline of a request or the timeout of its attempt: the attempt is cancelled as timed
+    /// out, and the director decides once that is confirmed. A request without an attempt in flight is failed
+    /// here, so that none goes unanswered.
+    fn handle_deadline(&mut self, now: f64, id: RequestId) {
+        let Some(open) = self.open.get(&id).filter(|o| !o.concluded) else { return };
+        // No further attempt may follow, so there is no need to wait until the node has read the cancel.
+        if now >= open.request.deadline.min(self.shutdown_deadline)
+            && let Some(i) = open.attempts.iter().position(|a| a.abandoned_as.is_some())
         {
-            self.propagated(now, Ticket { request: id, attempt: i as u16 });
+            self.finish_abandoned(now, AttemptId { request: id, attempt: i as u16 });
         }
-        let Some(open) = self.open.get_mut(&id).filter(|o| !o.done) else { return };
-        let mut asked = false;
-        for (i, a) in open.attempts.iter_mut().enumerate().filter(|(_, a)| a.out && a.abandoned.is_none()) {
-            asked |= !std::mem::replace(&mut a.timed_out, true);
-            let ticket = Ticket { request: id, attempt: i as u16 };
-            if a.call_off() {
-                self.effects.push(Effect::Command(Command::Cancel { ticket, node: a.node }));
+        let Some(open) = self.open.get_mut(&id).filter(|o| !o.concluded) else { return };
+        let mut cancel_requested = false;
+        for (i, a) in open.attempts.iter_mut().enumerate().filter(|(_, a)| a.in_flight && a.abandoned_as.is_none()) {
+            cancel_requested |= !std::mem::replace(&mut a.timed_out, true);
+            let attempt_id = AttemptId { request: id, attempt: i as u16 };
+            if a.cancel() {
+                self.effects.push(Effect::Command(Command::Cancel { attempt_id, node: a.node }));
             }
         }
-        if asked {
-            self.timers.set(now + CONFIRM, timers::Timer::Deadline(id));
-        } else if now >= open.ask.deadline.min(self.closes) {
-            self.feed(now, Event::Expired { request: id });
-            self.answer(now, id, Answer::Late);
+        if cancel_requested {
+            self.timers.set(now + CANCEL_CONFIRM_SECONDS, timers::Timer::Deadline(id));
+        } else if now >= open.request.deadline.min(self.shutdown_deadline) {
+            self.dispatch(now, Event::Expired { request: id });
+            self.answer(now, id, Answer::DeadlineExceeded);
         }
     }
 
-    /// Hands the director an event and carries out what it wants.
-    fn feed(&mut self, now: f64, event: Event) {
+    /// Hands the director an event and executes the actions that it returns.
+    fn dispatch(&mut self, now: f64, event: Event) {
         let mut actions = std::mem::take(&mut self.actions);
         self.director.handle(now, event, &mut actions);
         for action in actions.drain(..) {
-            self.carry_out(now, action);
+            self.execute(now, action);
         }
         self.actions = actions;
     }
 
-    /// Feeds the events that followed from actions, and books what was learned from all.
-    fn settle(&mut self, now: f64) {
-        while let Some(event) = self.queue.pop_front() {
+    /// Dispatches the events caused by actions, then updates the account of learned state.
+    fn drain_events(&mut self, now: f64) {
+        while let Some(event) = self.pending_events.pop_front() {
             if let Event::AttemptEnd { request, .. } = event {
-                self.feed(now, event);
-                self.forget(request);
+                self.dispatch(now, event);
+                self.forget_if_finished(request);
             } else {
-                self.feed(now, event);
+                self.dispatch(now, event);
             }
         }
-        self.book_learned();
+        self.account_learned();
     }
 
-    fn carry_out(&mut self, now: f64, action: Action) {
+    /// Executes an action of the director.
+    fn execute(&mut self, now: f64, action: Action) {
         match action {
-            Action::Fetch { .. } => self.send(now, action),
+            Action::Fetch { .. } => self.send_attempt(now, action),
             Action::Refuse { request, wait } => {
                 self.counters.refused_by_director += 1;
                 self.answer(now, request, Answer::Refused(wait));
             }
             Action::Fail { request } => self.answer(now, request, Answer::Failed),
             Action::Cancel { request, attempt } => {
-                let ticket = Ticket { request, attempt };
-                if let Some(a) = self.attempt(ticket).filter(|a| a.out && a.call_off()) {
+                let attempt_id = AttemptId { request, attempt };
+                if let Some(a) = self.attempt(attempt_id).filter(|a| a.in_flight && a.cancel()) {
                     let node = a.node;
-                    self.effects.push(Effect::Command(Command::Cancel { ticket, node }));
+                    self.effects.push(Effect::Command(Command::Cancel { attempt_id, node }));
                 }
             }
             Action::Alarm { token, after } => self.timers.set(now + after, timers::Timer::Alarm(token)),
-            // The site pushes its list, and this director probes nobody and tells its peers nothing.
+            // The platform pushes its list, and this front neither probes nodes nor sends messages to other
+            // directors.
             Action::Probe { .. } | Action::Tell { .. } | Action::Watch { .. } | Action::ReadList => {}
         }
     }
--- a/src/broker/model.rs
+++ b/src/broker/model.rs
@@ -1,8 +1,8 @@
-//! A model of what the core owes and has out, against which random steps are checked, with the real
-//! director. Fixed seed, no sockets, no clock but the test's.
+//! Checks the broker, with the real director, against a model of the unanswered requests and the attempts in
+//! flight, by random steps from a fixed seed. No sockets; the test provides the time.
 
 use super::*;
-use crate::interface::{Effect as Allowed, Outcome};
+use crate::interface::{Effect as ClassEffect, Outcome};
 use proptest::collection::vec;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -18,9 +18,9 @@
     Outcome::Reset,
     Outcome::Moot,
 ];
-/// How long a node may take to hear that an attempt was given up.
+/// Time that a node may take to read that an attempt was abandoned.
 const PROPAGATION_SECONDS: f64 = 0.01;
-/// Edges 0 to 3, a parent, the origin.
+/// Edge caches 0 to 3, a parent and the origin.
 const NODES: u64 = 6;
 
 fn member(id: u64, state: NodeState) -> Member {
@@ -38,7 +38,7 @@
         hub_of_zone: vec![ZoneId(0), ZoneId(0)],
         zone_link: vec![0.0, 50_000.0],
         flow: 1000.0,
-        classes: vec![class(Allowed::Safe), class(Allowed::Unsafe)],
+        classes: vec![class(ClassEffect::Safe), class(ClassEffect::Unsafe)],
         parent_kind: Some(1),
         origin_kind: 2,
         sources: SiblingScope::Zone,
@@ -52,90 +52,92 @@
     let mut broker = Broker::new(Setup {
         seed: 7,
         settings,
-        figures: super::Figures::new(class_names.clone()),
+        metrics: super::Metrics::new(class_names.clone()),
         class_names,
         contracts,
         memory: Ledger::unlimited(),
     });
     let members = (0..NODES).map(|id| member(id, NodeState::Ready)).collect();
-    broker.news(1000.0, News::Roster { full: true, members }, true);
+    broker.apply_update(1000.0, DiscoveryUpdate::NodeList { full: true, members }, true);
     broker
 }
 
 #[derive(Debug, Clone)]
 enum Step {
-    Ask { class: u8, object: u8, tenths: u8 },
+    Request { class: u8, object: u8, tenths: u8 },
     Abort(u8),
     Written(u8),
     End { which: u8, how: u8 },
     Node { id: u8, state: u8 },
     Purge { object: u8, group: bool },
-    Pass(u8),
+    AdvanceTime(u8),
 }
 
-struct Out {
+/// An attempt in flight.
+struct InFlight {
     order: Order,
     written: bool,
     cancelled: bool,
 }
 
-/// Guards what was taken against SIGKILL, which does not wait for a client's deadline.
+/// During shutdown every request is answered before SIGKILL follows, even if its own deadline is later.
 #[test]
-fn a_core_that_closes_answers_all_before_that() {
+fn shutdown_answers_open_and_later_requests_by_its_deadline() {
     let mut broker = broker(Contracts::default());
     broker.effects().for_each(drop);
-    let ask = |broker: &mut Broker, now, tag| {
+    let send = |broker: &mut Broker, now, tag| {
         let (object, call) = (ObjectId(tag), tag.to_string().into());
-        let ask = ClientRequest { object, deadline: now + 60.0, call, ..ClientRequest::default() };
-        broker.ask(now, Caller { connection: 1, tag }, ask);
+        let request = ClientRequest { object, deadline: now + 60.0, call, ..ClientRequest::default() };
+        broker.handle_request(now, Caller { connection: 1, tag }, request);
     };
-    ask(&mut broker, 1000.0, 1);
+    send(&mut broker, 1000.0, 1);
     broker.answer_by(1003.0);
-    ask(&mut broker, 1000.5, 2);
+    send(&mut broker, 1000.5, 2);
     let dues: Vec<f64> = broker
         .effects()
         .filter_map(|e| if let Effect::Command(Command::Send(o)) = e { Some(o.due) } else { None })
         .collect();
     assert!(dues.len() == 2 && dues[1] <= 1003.0, "{dues:?}");
-    broker.tick(1002.9);
+    broker.fire_timers(1002.9);
     assert_eq!(broker.pending(), 2);
-    // Nobody confirms the withdrawals: that does not hold up the answers.
-    broker.tick(1003.0);
-    broker.tick(1003.0 + 2.0 * CONFIRM);
+    // Unconfirmed cancels must not delay the answers.
+    broker.fire_timers(1003.0);
+    broker.fire_timers(1003.0 + 2.0 * CANCEL_CONFIRM_SECONDS);
     assert_eq!(broker.pending(), 0);
 }
 
-/// A request that comes too late for this process was failed, though its client had time left for another.
+/// A request that arrives after the shutdown deadline is refused rather than failed: its client has time left
+/// to retry at another process.
 #[test]
-fn what_comes_after_a_core_has_closed_is_refused() {
+fn request_after_the_shutdown_deadline_is_refused() {
     let mut broker = broker(Contracts::default());
     broker.answer_by(1003.0);
     broker.effects().for_each(drop);
-    let ask = ClientRequest { deadline: 1005.0, call: "1".into(), ..ClientRequest::default() };
-    broker.ask(1003.1, Caller { connection: 1, tag: 1 }, ask);
+    let request = ClientRequest { deadline: 1005.0, call: "1".into(), ..ClientRequest::default() };
+    broker.handle_request(1003.1, Caller { connection: 1, tag: 1 }, request);
     let effects: Vec<Effect> = broker.effects().collect();
     assert!(matches!(effects[..], [Effect::Answer { answer: Answer::Refused(wait), .. }] if wait > 0.0));
 }
 
-/// What the world outside the core knows.
+/// The model: what is visible from outside the broker.
 #[derive(Default)]
 struct World {
     now: f64,
-    /// Callers whose answer is owed, with their deadlines and classes.
-    owed: BTreeMap<u64, (f64, u16)>,
-    out: BTreeMap<(u32, u16), Out>,
-    /// Of requests of the unsafe class: callers of which an attempt may have run.
-    ran: BTreeSet<u64>,
+    /// Tags of unanswered requests, with their deadlines and classes.
+    unanswered: BTreeMap<u64, (f64, u16)>,
+    in_flight: BTreeMap<(u32, u16), InFlight>,
+    /// Tags of requests of the unsafe class that may have been executed.
+    executed: BTreeSet<u64>,
     states: Vec<NodeState>,
-    /// Bytes that a cache node has just given, the only ones that may be served.
-    given: Option<Vec<u8>>,
-    /// Attempts that were given up on the wire, and until when their nodes may not have heard of it.
-    unheard: BTreeMap<(u32, u16), f64>,
+    /// Body of the last cache node's answer, the only one that may be served.
+    node_answer: Option<Vec<u8>>,
+    /// Abandoned attempts, with the time until which their nodes may not have read that.
+    abandoned: BTreeMap<(u32, u16), f64>,
 }
 
 impl World {
-    /// Checks and books what the core wants done; connections confirm a cancel at once, and nodes hear of it later.
-    fn watch(&mut self, broker: &mut Broker) -> Result<(), TestCaseError> {
+    /// Checks and applies the broker's effects. Connections confirm a cancel at once; nodes read it later.
+    fn check_effects(&mut self, broker: &mut Broker) -> Result<(), TestCaseError> {
         loop {
             let effects: Vec<Effect> = broker.effects().collect();
             if effects.is_empty() {
@@ -144,46 +146,46 @@
             for effect in effects {
                 match effect {
                     Effect::Command(Command::Send(order)) => {
-                        let key = (order.ticket.request.0, order.ticket.attempt);
-                        prop_assert!(self.out.keys().all(|k| k.0 != key.0), "two attempts out for {:?}", key);
-                        let unheard = self.unheard.iter().any(|(k, until)| k.0 == key.0 && *until > self.now);
+                        let key = (order.attempt_id.request.0, order.attempt_id.attempt);
+                        prop_assert!(self.in_flight.keys().all(|k| k.0 != key.0), "two attempts in flight for {:?}", key);
+                        let node_unaware = self.abandoned.iter().any(|(k, until)| k.0 == key.0 && *until > self.now);
                         prop_assert!(
-                            !unheard,
-                            "the next attempt of {:?} before its node heard of the last",
+                            !node_unaware,
+                            "the next attempt of {:?} before its node read that the last was abandoned",
                             key
                         );
                         let ready = |id: NodeId| self.states[id.0 as usize] == NodeState::Ready;
                         prop_assert!(ready(order.node), "sent to a node that is not ready");
                         prop_assert!(order.source.is_none_or(ready), "filled from a node that is not ready");
-                        let caller: u64 = order.ask.call.parse().unwrap();
-                        let owed = self.owed.get(&caller);
-                        prop_assert!(owed.is_some_and(|o| order.due <= o.0 && order.due > self.now));
-                        prop_assert!(!self.ran.contains(&caller), "an unsafe request sent twice");
-                        self.out.insert(key, Out { order, written: false, cancelled: false });
+                        let caller: u64 = order.request.call.parse().unwrap();
+                        let open = self.unanswered.get(&caller);
+                        prop_assert!(open.is_some_and(|o| order.due <= o.0 && order.due > self.now));
+                        prop_assert!(!self.executed.contains(&caller), "an unsafe request sent twice");
+                        self.in_flight.insert(key, InFlight { order, written: false, cancelled: false });
                     }
-                    Effect::Command(Command::Cancel { ticket, node }) => {
-                        let key = (ticket.request.0, ticket.attempt);
-                        let Some(out) = self.out.get_mut(&key) else { continue };
+                    Effect::Command(Command::Cancel { attempt_id, node }) => {
+                        let key = (attempt_id.request.0, attempt_id.attempt);
+                        let Some(out) = self.in_flight.get_mut(&key) else { continue };
                         prop_assert_eq!(out.order.node, node);
                         prop_assert!(!std::mem::replace(&mut out.cancelled, true), "cancelled twice");
                         self.end(
                             broker,
                             key,
-                            if self.out[&key].written { Outcome::Cancelled } else { Outcome::Moot },
+                            if self.in_flight[&key].written { Outcome::Cancelled } else { Outcome::Moot },
                             false,
                         );
                     }
-                    Effect::Command(Command::Roster { .. }) => {}
+                    Effect::Command(Command::NodeList { .. }) => {}
                     Effect::Answer { caller, answer } => {
-                        let owed = self.owed.remove(&caller.tag);
-                        prop_assert!(owed.is_some(), "an answer that is not owed: {:?}", answer);
+                        let open = self.unanswered.remove(&caller.tag);
+                        prop_assert!(open.is_some(), "an answer that is not due: {:?}", answer);
                         match answer {
-                            Answer::Served(content) => prop_assert_eq!(Some(content.body), self.given.take()),
+                            Answer::Served(content) => prop_assert_eq!(Some(content.body), self.node_answer.take()),
                             Answer::Refused(wait) => {
-                                prop_assert!(wait > 0.0, "a refusal says when to come back");
-                                prop_assert!(!self.ran.contains(&caller.tag), "refused, and may have run");
+                                prop_assert!(wait > 0.0, "a refusal has a retry delay");
+                                prop_assert!(!self.executed.contains(&caller.tag), "refused, but may have been executed");
                             }
-                            Answer::Failed | Answer::Late => {}
+                            Answer::Failed | Answer::DeadlineExceeded => {}
                             other => prop_assert!(false, "{:?} without contracts", other),
                         }
                     }
@@ -192,43 +194,43 @@
         }
     }
 
-    /// Ends an attempt; `ours`: since this side closed its connection.
-    fn end(&mut self, broker: &mut Broker, key: (u32, u16), outcome: Outcome, ours: bool) {
-        let Some(out) = self.out.remove(&key) else { return };
+    /// Ends an attempt; `closed_by_front`: because this side closed the connection.
+    fn end(&mut self, broker: &mut Broker, key: (u32, u16), outcome: Outcome, closed_by_front: bool) {
+        let Some(out) = self.in_flight.remove(&key) else { return };
         if out.order.class.as_ref() == "unsafe" && !outcome.never_ran() {
-            self.ran.insert(out.order.ask.call.parse().unwrap());
+            self.executed.insert(out.order.request.call.parse().unwrap());
         }
         let body = format!("{key:?}").into_bytes();
         let content = (outcome == Outcome::Ok).then(|| Content { body: body.clone(), ..Content::default() });
-        self.given = content.is_some().then_some(body);
+        self.node_answer = content.is_some().then_some(body);
         let note = if outcome == Outcome::Ok { Note::Hit } else { Note::None };
-        let ticket = out.order.ticket;
-        if outcome == Outcome::Cancelled || ours {
-            self.unheard.insert(key, self.now + PROPAGATION_SECONDS);
+        let attempt_id = out.order.attempt_id;
+        if outcome == Outcome::Cancelled || closed_by_front {
+            self.abandoned.insert(key, self.now + PROPAGATION_SECONDS);
             let propagation = PROPAGATION_SECONDS;
-            return broker.report(self.now, Report::Abandoned { ticket, outcome, propagation });
+            return broker.handle_report(self.now, Report::Abandoned { attempt_id, outcome, propagation });
         }
-        broker.report(self.now, Report::Ended { ticket, outcome, note, source_wait: 0.0, content });
+        broker.handle_report(self.now, Report::AttemptEnded { attempt_id, outcome, note, source_wait: 0.0, content });
     }
 }
 
-fn play(steps: Vec<Step>) -> Result<(), TestCaseError> {
+fn run_steps(steps: Vec<Step>) -> Result<(), TestCaseError> {
     let mut broker = broker(Contracts::default());
     let states = vec![NodeState::Ready; NODES as usize];
     let mut w = World { now: 1000.0, states, ..World::default() };
-    w.watch(&mut broker)?;
+    w.check_effects(&mut broker)?;
     let mut next = 0;
     for step in steps {
         let pick = |which: u8, keys: Vec<(u32, u16)>| {
             (!keys.is_empty()).then(|| keys[usize::from(which) % keys.len()])
         };
         match step {
-            Step::Ask { class, object, tenths } => {
+            Step::Request { class, object, tenths } => {
                 next += 1;
                 let deadline = w.now + f64::from(tenths) / 10.0;
                 let call = next.to_string().into();
                 let (class, object) = (ClassId(class.into()), ObjectId(object.into()));
-                let ask = ClientRequest {
+                let request = ClientRequest {
                     class,
                     object,
                     group: GroupId(3),
@@ -236,27 +238,27 @@
                     call,
                     ..ClientRequest::default()
                 };
-                w.owed.insert(next, (deadline, class.0));
-                broker.ask(w.now, Caller { connection: 1, tag: next }, ask);
+                w.unanswered.insert(next, (deadline, class.0));
+                broker.handle_request(w.now, Caller { connection: 1, tag: next }, request);
             }
             Step::Abort(which) => {
-                let owed: Vec<u64> = w.owed.keys().copied().collect();
-                if !owed.is_empty() {
-                    let tag = owed[usize::from(which) % owed.len()];
-                    w.owed.remove(&tag);
+                let unanswered: Vec<u64> = w.unanswered.keys().copied().collect();
+                if !unanswered.is_empty() {
+                    let tag = unanswered[usize::from(which) % unanswered.len()];
+                    w.unanswered.remove(&tag);
                     broker.abort(w.now, Caller { connection: 1, tag });
                 }
             }
             Step::Written(which) => {
-                let waiting = w.out.iter().filter(|o| !o.1.written).map(|o| *o.0).collect();
+                let waiting = w.in_flight.iter().filter(|o| !o.1.written).map(|o| *o.0).collect();
                 if let Some(key) = pick(which, waiting) {
-                    let out = w.out.get_mut(&key).unwrap();
+                    let out = w.in_flight.get_mut(&key).unwrap();
                     out.written = true;
-                    broker.report(w.now, Report::Written(out.order.ticket));
+                    broker.handle_report(w.now, Report::WriteStarted(out.order.attempt_id));
                 }
             }
             Step::End { which, how } => {
-                if let Some(key) = pick(which, w.out.keys().copied().collect()) {
+                if let Some(key) = pick(which, w.in_flight.keys().copied().collect()) {
                     let outcome = OUTCOMES[usize::from(how) % OUTCOMES.len()];
                     w.end(&mut broker, key, outcome, outcome == Outcome::Reset && how > 127);
                 }
@@ -265,103 +267,103 @@
                 let id = u64::from(id) % NODES;
                 let state = [NodeState::Ready, NodeState::Draining, NodeState::Gone][usize::from(state) % 3];
                 w.states[id as usize] = state;
-                let before: Vec<_> = w.out.iter().filter(|o| !o.1.written).map(|o| *o.0).collect();
-                broker.news(w.now, News::Roster { full: false, members: vec![member(id, state)] }, false);
-                w.watch(&mut broker)?;
-                // What waits for a connection may not leave for a node that drains, nor name it as a source.
-                for out in before.iter().filter_map(|k| w.out.get(k)) {
-                    let bears = out.order.node.0 == id || out.order.source == Some(NodeId(id));
-                    prop_assert!(!bears || state == NodeState::Ready, "left waiting for {:?}", id);
+                let before: Vec<_> = w.in_flight.iter().filter(|o| !o.1.written).map(|o| *o.0).collect();
+                broker.apply_update(w.now, DiscoveryUpdate::NodeList { full: false, members: vec![member(id, state)] }, false);
+                w.check_effects(&mut broker)?;
+                // An unwritten attempt must not be sent to a draining node, nor name it as a source.
+                for out in before.iter().filter_map(|k| w.in_flight.get(k)) {
+                    let affected = out.order.node.0 == id || out.order.source == Some(NodeId(id));
+                    prop_assert!(!affected || state == NodeState::Ready, "still waiting for {:?}", id);
                 }
             }
             Step::Purge { object, group } => {
                 let object = (!group).then_some(ObjectId(object.into()));
-                let before: Vec<_> = w.out.iter().filter(|o| !o.1.written).map(|o| *o.0).collect();
-                broker.news(w.now, News::Purge { object, group: GroupId(3), at: w.now }, false);
-                w.watch(&mut broker)?;
-                for out in before.iter().filter_map(|k| w.out.get(k)) {
-                    let bears = object.is_none_or(|o| o == out.order.ask.object);
-                    prop_assert!(!bears, "left waiting with an age limit from before a purge");
+                let before: Vec<_> = w.in_flight.iter().filter(|o| !o.1.written).map(|o| *o.0).collect();
+                broker.apply_update(w.now, DiscoveryUpdate::Purge { object, group: GroupId(3), at: w.now }, false);
+                w.check_effects(&mut broker)?;
+                for out in before.iter().filter_map(|k| w.in_flight.get(k)) {
+                    let affected = object.is_none_or(|o| o == out.order.request.object);
+                    prop_assert!(!affected, "still waiting with an age limit from before a purge");
                 }
             }
-            Step::Pass(tenths) => {
+            Step::AdvanceTime(tenths) => {
                 w.now += f64::from(tenths) / 10.0;
-                broker.tick(w.now);
+                broker.fire_timers(w.now);
             }
         }
-        w.watch(&mut broker)?;
-        let late: Vec<_> = w.owed.iter().filter(|o| o.1.0 < w.now - 2e-6).collect();
-        if matches!(step, Step::Pass(_)) {
+        w.check_effects(&mut broker)?;
+        let late: Vec<_> = w.unanswered.iter().filter(|o| o.1.0 < w.now - 2e-6).collect();
+        if matches!(step, Step::AdvanceTime(_)) {
             prop_assert!(late.is_empty(), "unanswered at the deadline: {:?}", late);
         }
-        prop_assert_eq!(broker.pending(), w.owed.len());
+        prop_assert_eq!(broker.pending(), w.unanswered.len());
     }
     for _ in 0..2 {
         w.now += 10.0;
-        broker.tick(w.now);
-        w.watch(&mut broker)?;
+        broker.fire_timers(w.now);
+        w.check_effects(&mut broker)?;
     }
-    prop_assert!(w.owed.is_empty() && w.out.is_empty());
-    prop_assert!(broker.open.is_empty() && broker.calls.is_empty(), "something is kept of what is over");
+    prop_assert!(w.unanswered.is_empty() && w.in_flight.is_empty());
+    prop_assert!(broker.open.is_empty() && broker.open_calls.is_empty(), "state of finished requests is left");
     Ok(())
 }
 
 #[test]
-fn the_core_keeps_the_rules_that_can_be_seen_from_outside() {
+fn random_steps_keep_the_rules_visible_from_outside() {
     let step = prop_oneof![
-        8 => (0u8..2, 0u8..5, 0u8..25).prop_map(|(class, object, tenths)| Step::Ask { class, object, tenths }),
+        8 => (0u8..2, 0u8..5, 0u8..25).prop_map(|(class, object, tenths)| Step::Request { class, object, tenths }),
         2 => any::<u8>().prop_map(Step::Abort),
         6 => any::<u8>().prop_map(Step::Written),
         8 => (any::<u8>(), any::<u8>()).prop_map(|(which, how)| Step::End { which, how }),
         3 => (any::<u8>(), any::<u8>()).prop_map(|(id, state)| Step::Node { id, state }),
         2 => (0u8..5, any::<bool>()).prop_map(|(object, group)| Step::Purge { object, group }),
-        3 => (0u8..8).prop_map(Step::Pass),
+        3 => (0u8..8).prop_map(Step::AdvanceTime),
     ];
     let config = Config { cases: 300, failure_persistence: None, ..Config::default() };
     let mut runner = TestRunner::new_with_rng(config, TestRng::deterministic_rng(RngAlgorithm::ChaCha));
-    runner.run(&vec(step, 1..150), play).unwrap_or_else(|e| panic!("{e}"));
+    runner.run(&vec(step, 1..150), run_steps).unwrap_or_else(|e| panic!("{e}"));
 }
 
-fn ask(deadline: f64) -> ClientRequest {
+fn request_until(deadline: f64) -> ClientRequest {
     ClientRequest { deadline, call: "1".into(), object: ObjectId(5), ..ClientRequest::default() }
 }
 
-/// Guards against a connection that never confirms a withdrawal: the request is answered all the same.
+/// A connection that never confirms a cancel does not delay the answer.
 #[test]
-fn a_withdrawal_that_is_not_confirmed_does_not_hold_the_answer_back() {
+fn unconfirmed_cancel_does_not_delay_the_answer() {
     let mut b = broker(Contracts::default());
     let caller = Caller { connection: 1, tag: 1 };
-    b.ask(1000.0, caller, ask(1001.0));
-    b.tick(1001.0);
+    b.handle_request(1000.0, caller, request_until(1001.0));
+    b.fire_timers(1001.0);
     assert!(b.effects().any(|e| matches!(e, Effect::Command(Command::Cancel { .. }))));
-    b.tick(1001.0 + CONFIRM);
+    b.fire_timers(1001.0 + CANCEL_CONFIRM_SECONDS);
     let answers: Vec<Effect> = b.effects().collect();
-    assert!(matches!(answers[..], [Effect::Answer { answer: Answer::Late, .. }]), "{answers:?}");
+    assert!(matches!(answers[..], [Effect::Answer { answer: Answer::DeadlineExceeded, .. }]), "{answers:?}");
 }
 
-/// Guards the last moments before a deadline: what is given up then is followed by nothing that its node could meet, and
-/// its request is answered when its time is up, without a wait.
+/// An attempt abandoned within the propagation time before the deadline is followed by no other, which its
+/// node could execute at the same time, and the request is answered at the deadline without a further delay.
 #[test]
-fn an_attempt_that_is_given_up_just_before_the_deadline_is_the_last() {
+fn no_attempt_follows_one_abandoned_just_before_the_deadline() {
     let mut b = broker(Contracts::default());
-    b.ask(1000.0, Caller { connection: 1, tag: 1 }, ask(1001.0));
-    let ordered = |b: &mut Broker| {
+    b.handle_request(1000.0, Caller { connection: 1, tag: 1 }, request_until(1001.0));
+    let sent_attempt = |b: &mut Broker| {
         b.effects()
-            .find_map(|e| if let Effect::Command(Command::Send(o)) = e { Some(o.ticket) } else { None })
+            .find_map(|e| if let Effect::Command(Command::Send(o)) = e { Some(o.attempt_id) } else { None })
     };
-    let ticket = ordered(&mut b).unwrap();
-    b.report(1000.1, Report::Written(ticket));
+    let attempt_id = sent_attempt(&mut b).unwrap();
+    b.handle_report(1000.1, Report::WriteStarted(attempt_id));
     let (outcome, propagation) = (Outcome::Reset, PROPAGATION_SECONDS);
-    b.report(1000.995, Report::Abandoned { ticket, outcome, propagation });
-    assert_eq!(ordered(&mut b), None);
-    b.tick(1001.0);
+    b.handle_report(1000.995, Report::Abandoned { attempt_id, outcome, propagation });
+    assert_eq!(sent_attempt(&mut b), None);
+    b.fire_timers(1001.0);
     let effects: Vec<Effect> = b.effects().collect();
     assert!(matches!(effects[..], [Effect::Answer { .. }]), "{effects:?}");
 }
 
-/// Budgets and contracts hold for whatever front asks, before the director hears of it.
+/// Contracts and budgets are checked before the director sees a request.
 #[test]
-fn teams_are_held_to_their_contracts_and_budgets() {
+fn requests_beyond_contract_or_budget_are_rejected() {
     let team = Team {
         classes: vec![ClassId(0)],
         requests_per_s: 1.0,
@@ -370,69 +372,72 @@
         ..Team::default()
     };
     let mut b = broker(Contracts(vec![team]));
-    let answer = |b: &mut Broker, tag, ask| {
+    let answer = |b: &mut Broker, tag, request| {
         b.effects().for_each(drop);
-        b.ask(1000.0, Caller { connection: 1, tag }, ask);
+        b.handle_request(1000.0, Caller { connection: 1, tag }, request);
         b.effects().find_map(|e| if let Effect::Answer { answer, .. } = e { Some(answer) } else { None })
     };
-    let ours = || ClientRequest { team: Some(0), ..ask(1001.0) };
-    assert_eq!(answer(&mut b, 1, ask(1001.0)), Some(Answer::Forbidden), "no team");
+    let ours = || ClientRequest { team: Some(0), ..request_until(1001.0) };
+    assert_eq!(answer(&mut b, 1, request_until(1001.0)), Some(Answer::Forbidden), "no team");
     assert_eq!(answer(&mut b, 2, ClientRequest { class: ClassId(1), ..ours() }), Some(Answer::Forbidden));
-    assert_eq!(answer(&mut b, 3, ours()), None, "out");
+    assert_eq!(answer(&mut b, 3, ours()), None, "in flight");
     assert_eq!(answer(&mut b, 4, ours()), Some(Answer::OverBudget(1.0)));
 }
 
-/// A broker that knows one edge and the origin, of which the edge answers one request while another of its answers is
-/// held up, for longer than answers get lost in; what it orders then, and afterwards for objects of which it knows nothing.
-fn held_up(told: bool) -> (Vec<Effect>, usize) {
-    const LATER: u64 = 64;
-    const LEARNED_FROM: u64 = 64;
-    const BEGAN: f64 = 1010.0;
+/// Runs a broker that knows one edge cache and the origin. The edge answers one request while another of its
+/// answers waits for memory, longer than the time after which an answer counts as lost. Returns the effects
+/// meanwhile, and how many later requests for unknown objects were refused. `reported`: whether the broker is
+/// told that the answer waits.
+fn refused_after_memory_wait(reported: bool) -> (Vec<Effect>, usize) {
+    const LATER_REQUESTS: u64 = 64;
+    const LEARNING_REQUESTS: u64 = 64;
+    const START: f64 = 1010.0;
     let mut broker = broker(Contracts::default());
     let members = [0, NODES - 1].map(|id| member(id, NodeState::Ready)).to_vec();
-    broker.news(BEGAN, News::Roster { full: true, members }, true);
-    let ask = |broker: &mut Broker, now: f64, tag: u64| {
+    broker.apply_update(START, DiscoveryUpdate::NodeList { full: true, members }, true);
+    let send = |broker: &mut Broker, now: f64, tag: u64| {
         let (object, call) = (ObjectId(tag), tag.to_string().into());
-        let ask = ClientRequest { object, kb: 10.0, deadline: now + 60.0, call, ..ClientRequest::default() };
-        broker.ask(now, Caller { connection: 1, tag }, ask);
-        let sent = |e| if let Effect::Command(Command::Send(order)) = e { Some(order.ticket) } else { None };
+        let request = ClientRequest { object, size_kb: 10.0, deadline: now + 60.0, call, ..ClientRequest::default() };
+        broker.handle_request(now, Caller { connection: 1, tag }, request);
+        let sent = |e| if let Effect::Command(Command::Send(order)) = e { Some(order.attempt_id) } else { None };
         broker.effects().find_map(sent)
     };
-    let hit = |broker: &mut Broker, now: f64, ticket: Ticket| {
+    let hit = |broker: &mut Broker, now: f64, attempt_id: AttemptId| {
         let (outcome, note, content) = (Outcome::Ok, Note::Hit, Some(Content::default()));
-        broker.report(now, Report::Ended { ticket, outcome, note, source_wait: 0.0, content });
+        broker.handle_report(now, Report::AttemptEnded { attempt_id, outcome, note, source_wait: 0.0, content });
         broker.effects().for_each(drop);
     };
-    for n in 0..LEARNED_FROM {
-        let now = BEGAN - 1.0 + n as f64 * 0.01;
-        let ticket = ask(&mut broker, now, 1000 + n).unwrap();
-        hit(&mut broker, now + 0.002, ticket);
+    for n in 0..LEARNING_REQUESTS {
+        let now = START - 1.0 + n as f64 * 0.01;
+        let attempt_id = send(&mut broker, now, 1000 + n).unwrap();
+        hit(&mut broker, now + 0.002, attempt_id);
     }
-    let held = ask(&mut broker, BEGAN, 1).unwrap();
-    let other = ask(&mut broker, BEGAN + 0.001, 2).unwrap();
-    hit(&mut broker, BEGAN + 0.002, other);
-    if told {
-        broker.report(BEGAN + 0.003, Report::HeldUp(held));
+    let held = send(&mut broker, START, 1).unwrap();
+    let other = send(&mut broker, START + 0.001, 2).unwrap();
+    hit(&mut broker, START + 0.002, other);
+    if reported {
+        broker.handle_report(START + 0.003, Report::AwaitingMemory(held));
     }
-    (1..=100).for_each(|step| broker.tick(BEGAN + f64::from(step) * 0.01));
+    (1..=100).for_each(|step| broker.fire_timers(START + f64::from(step) * 0.01));
     let meanwhile = broker.effects().collect();
-    broker.report(BEGAN + 1.0, Report::NoMemory(held));
+    broker.handle_report(START + 1.0, Report::NoMemory(held));
     broker.effects().for_each(drop);
-    let sent = (0..LATER).filter(|n| {
-        let now = BEGAN + 1.0 + *n as f64 * 0.001;
-        ask(&mut broker, now, 10 + n).map(|ticket| hit(&mut broker, now, ticket)).is_some()
+    let sent = (0..LATER_REQUESTS).filter(|n| {
+        let now = START + 1.0 + *n as f64 * 0.001;
+        send(&mut broker, now, 10 + n).map(|attempt_id| hit(&mut broker, now, attempt_id)).is_some()
     });
-    (meanwhile, LATER as usize - sent.count())
+    (meanwhile, LATER_REQUESTS as usize - sent.count())
 }
 
-/// Guards those who ask next: what this front holds up is not lost, is not withdrawn, and does not count as a failure of the
-/// origin, on whose account requests for what is not known to be held were refused.
+/// An answer that waits for memory in this process is not lost: its attempt is not cancelled, and is not
+/// counted as a failure of the origin, which led to refusals of later requests for objects that no node is
+/// known to hold.
 #[test]
-fn an_answer_that_this_front_holds_up_is_no_lost_one() {
-    let (meanwhile, refused) = held_up(true);
+fn answer_waiting_for_memory_is_not_treated_as_lost() {
+    let (meanwhile, refused) = refused_after_memory_wait(true);
     assert!(meanwhile.is_empty(), "{meanwhile:?}");
     assert_eq!(refused, 0);
-    // Without the word of it the attempt is withdrawn: so it would be if it had got lost.
-    let (meanwhile, _) = held_up(false);
+    // Without the report the attempt is cancelled, as one whose answer is lost.
+    let (meanwhile, _) = refused_after_memory_wait(false);
     assert!(meanwhile.iter().any(|e| matches!(e, Effect::Command(Command::Cancel { .. }))), "{meanwhile:?}");
 }
--- a/src/broker/run.rs
+++ b/src/broker/run.rs
@@ -1,7 +1,7 @@
-//! The one task that owns the core.
+//! The task that owns the broker.
 
-use super::{Answer, Broker, Caller, Command, Effect, Input, News, Report};
-use crate::membership::{Kept, OperatorOverride};
+use super::{Answer, Broker, Caller, Command, Effect, Input, DiscoveryUpdate, Report};
+use crate::membership::{SavedOverrides, OperatorOverride};
 use crate::{clock, turns};
 use rustc_hash::FxHashMap;
 use std::cell::Cell;
@@ -13,60 +13,61 @@
 use tokio::sync::oneshot;
 use tokio::time::{Instant, MissedTickBehavior, interval_at, sleep_until};
 
-/// Messages taken from one queue before the others and the timers get their turn.
-const TURN: usize = 32;
-/// Gauges for operators are published this often; they may be half a second old (seconds).
-const PUBLISH: f64 = 0.2;
+/// Reports handled in a row before the other queues and the timers are served.
+const MAX_REPORT_BATCH: usize = 32;
+/// Interval at which gauges are published for operators, which may be at most half a second old.
+const GAUGE_INTERVAL_SECONDS: f64 = 0.2;
 
-/// The queues that lead to the core, by rank: news first, so that what is decided after them knows of them.
+/// The broker's input queues, in order of priority: updates first, so that every later decision takes them
+/// into account.
 pub struct Inputs {
-    /// From the coordinator, or a discovery document.
-    pub news: UnboundedReceiver<News>,
-    /// From the operators' socket, whose callers have one call each at most, which bounds it.
-    pub operators: UnboundedReceiver<Operator>,
-    /// From cache connections; each attempt has three reports at most, which bounds it.
+    /// Updates from the coordinator or the discovery server.
+    pub updates: UnboundedReceiver<DiscoveryUpdate>,
+    /// Requests from the operators' socket. Each connection has at most one open, which bounds the queue.
+    pub operators: UnboundedReceiver<OperatorRequest>,
+    /// Reports from connections to cache nodes. Each attempt has at most three, which bounds the queue.
     pub reports: UnboundedReceiver<Report>,
-    /// From fronts.
-    pub asks: Receiver<Input>,
-    /// Set once the core has a list of nodes to send to; a front is healthy from then on.
+    /// Messages from client connections.
+    pub requests: Receiver<Input>,
+    /// Set once any node is listed; the front is healthy from then on.
     pub ready: Rc<Cell<bool>>,
-    /// Asks for the counters.
+    /// Notified to print the counters.
     pub print: Rc<Notify>,
-    /// Tells of the end.
-    pub close: UnboundedReceiver<Close>,
+    /// Steps of the shutdown.
+    pub close: UnboundedReceiver<Shutdown>,
 }
 
-/// From the operators' socket.
+/// Request from the operators' socket.
 #[derive(Debug)]
-pub enum Operator {
-    /// A call. The answer says what was done, with what is now to be kept and the number of the call, so that
-    /// of two answers the later is kept; or why it was refused.
-    Call {
-        /// What.
-        hand: OperatorOverride,
-        /// Where the answer goes.
-        reply: oneshot::Sender<Result<(String, Kept, u64), String>>,
+pub enum OperatorRequest {
+    /// A cordon or uncordon. The reply is the message for the operator, the overrides to save and the number
+    /// of the call, so that of two replies the later is saved; or why the call is refused.
+    Override {
+        /// The cordon or uncordon.
+        action: OperatorOverride,
+        /// Receives the reply.
+        reply: oneshot::Sender<Result<(String, SavedOverrides, u64), String>>,
     },
-    /// What another process of this front kept.
-    Kept(Kept),
+    /// Overrides that another process of this front saved.
+    Restore(SavedOverrides),
 }
 
-/// How the program ends.
+/// A step of the shutdown.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Close {
-    /// Whatever is taken from now on, or was before, is to be answered by then (Unix seconds).
+pub enum Shutdown {
+    /// Every request, open or still to come, is answered by this time (Unix seconds).
     AnswerBy(f64),
-    /// Nothing more is expected: the core ends once every request taken is answered.
+    /// No further requests come: the task ends once every request is answered.
     WhenAnswered,
 }
 
-/// Runs the core until it was asked to close and nothing is pending.
+/// Runs the broker until it is told to shut down and no request is pending.
 pub async fn run(mut broker: Broker, mut inputs: Inputs, commands: UnboundedSender<Command>) {
     let mut replies: FxHashMap<Caller, UnboundedSender<(u64, Answer)>> = FxHashMap::default();
     let (mut closing, mut started) = (false, false);
-    // True from before the process says it takes clients, then fresh every period.
+    // The gauges are published before the process reports ready, then at every interval.
     broker.publish(clock::now(), 0);
-    let period = Duration::from_secs_f64(PUBLISH);
+    let period = Duration::from_secs_f64(GAUGE_INTERVAL_SECONDS);
     let mut publish = interval_at(Instant::now() + period, period);
     publish.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut calls = 0;
@@ -90,7 +91,8 @@
                     let _ = commands.send(command);
                 }
                 Effect::Answer { caller, answer } => {
-                    // A connection that has closed meanwhile has aborted, or is about to.
+                    // A missing reply channel means that the connection has closed and aborted its requests,
+                    // or is about to.
                     if let Some(reply) = replies.remove(&caller) {
                         let _ = reply.send((caller.tag, answer));
                     }
@@ -109,44 +111,46 @@
         };
         tokio::select! {
             biased;
-            Some(news) = inputs.news.recv() => {
-                broker.news(clock::now(), news, false);
-                while let Ok(news) = inputs.news.try_recv() {
-                    broker.news(clock::now(), news, false);
+            Some(update) = inputs.updates.recv() => {
+                broker.apply_update(clock::now(), update, false);
+                while let Ok(update) = inputs.updates.try_recv() {
+                    broker.apply_update(clock::now(), update, false);
                 }
             }
-            Some(call) = inputs.operators.recv() => match call {
-                Operator::Call { hand, reply } => {
+            Some(request) = inputs.operators.recv() => match request {
+                OperatorRequest::Override { action, reply } => {
                     let now = clock::now();
                     calls += 1;
-                    let _ = reply.send(broker.hand(now, hand).map(|said| (said, broker.kept(now), calls)));
+                    let result = broker.apply_override(now, action);
+                    let _ = reply.send(result.map(|message| (message, broker.saved_overrides(now), calls)));
                 }
-                Operator::Kept(kept) => broker.take_kept(clock::now(), &kept),
+                OperatorRequest::Restore(saved) => broker.restore_overrides(clock::now(), &saved),
             },
             () = timer => {}
-            _ = publish.tick() => broker.publish(clock::now(), inputs.asks.len()),
+            _ = publish.tick() => broker.publish(clock::now(), inputs.requests.len()),
             Some(report) = inputs.reports.recv() => {
-                broker.report(clock::now(), report);
-                for _ in 1..TURN {
+                broker.handle_report(clock::now(), report);
+                for _ in 1..MAX_REPORT_BATCH {
                     let Ok(report) = inputs.reports.try_recv() else { break };
-                    broker.report(clock::now(), report);
+                    broker.handle_report(clock::now(), report);
                 }
             }
-            Some(input) = inputs.asks.recv() => take(&mut broker, &mut replies, input),
+            Some(input) = inputs.requests.recv() => handle_input(&mut broker, &mut replies, input),
             () = inputs.print.notified() => {
-                // Asked for by the operator, and so not held back by the storm that it is to explain.
+                // Printed directly, not by the rate-limited log: an operator asks for it to explain a burst
+                // of log lines.
                 eprintln!("onyxyoke: {}", broker.counters);
                 eprintln!("onyxyoke: {}", broker.reason_counts());
                 eprintln!("onyxyoke: {}", broker.memory());
                 eprintln!("onyxyoke: {}", turns::longest());
             }
-            Some(close) = inputs.close.recv() => match close {
-                Close::AnswerBy(by) => broker.answer_by(by),
-                Close::WhenAnswered => closing = true,
+            Some(step) = inputs.close.recv() => match step {
+                Shutdown::AnswerBy(by) => broker.answer_by(by),
+                Shutdown::WhenAnswered => closing = true,
             },
         }
-        // Whatever came, timers that are due fire now: a busy queue does not hold them up.
-        broker.tick(clock::now());
+        // Due timers fire after every input, so that a busy queue does not delay them.
+        broker.fire_timers(clock::now());
     }
     eprintln!("onyxyoke: at exit: {}", broker.counters);
     eprintln!("onyxyoke: at exit: {}", broker.reason_counts());
@@ -154,11 +158,12 @@
     eprintln!("onyxyoke: at exit: {}", turns::longest());
 }
 
-fn take(broker: &mut Broker, replies: &mut FxHashMap<Caller, UnboundedSender<(u64, Answer)>>, input: Input) {
+/// Handles a message from a client connection, and keeps the reply channels of open requests.
+fn handle_input(broker: &mut Broker, replies: &mut FxHashMap<Caller, UnboundedSender<(u64, Answer)>>, input: Input) {
     match input {
-        Input::Ask { caller, ask, reply } => {
+        Input::Request { caller, request, reply } => {
             replies.insert(caller, reply);
-            broker.ask(clock::now(), caller, ask);
+            broker.handle_request(clock::now(), caller, request);
         }
         Input::Abort(caller) => {
             replies.remove(&caller);
--- a/src/broker/tenants.rs
+++ b/src/broker/tenants.rs
@@ -1,48 +1,48 @@
-//! Teams: what each may ask for (its contract) and how much (its budget). Contracts are fixed and shared
-//! with the fronts, budgets are the core's. Where no team is configured, nobody is limited.
+//! Teams: what each may request (its contract) and how much (its budget). Contracts are fixed and shared with
+//! the client connections; budgets belong to the broker. If no team is configured, nothing is limited.
 
 use super::ClientRequest;
 use crate::interface::ClassId;
 
-/// A team, by its place in [`Contracts`].
+/// A team, by its index in [`Contracts`].
 pub type TeamId = u16;
 
-/// What a team may ask for, and how much.
+/// A team's contract, and the rates and limits of its budget.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Team {
-    /// Its name.
+    /// Name of the team.
     pub name: String,
-    /// Whose links are good for its paths.
+    /// Issuer whose signed links are valid for the team's paths.
     pub issuer: String,
-    /// Classes that it may use.
+    /// Classes that the team may use.
     pub classes: Vec<ClassId>,
-    /// Path prefixes that are its own, each with the class of what lies below.
+    /// Path prefixes that the team owns, each with the class of the paths below it.
     pub prefixes: Vec<(String, ClassId)>,
-    /// Requests a second.
+    /// Requests per second.
     pub requests_per_s: f64,
-    /// Requests open at a time.
+    /// Maximum number of open requests.
     pub in_flight: usize,
-    /// Bytes served a second.
+    /// Bytes served per second.
     pub bytes_per_s: f64,
 }
 
-/// All teams.
+/// The contracts of all teams.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Contracts(pub Vec<Team>);
 
 impl Contracts {
-    /// Is anybody limited?
+    /// Returns whether no team is configured, so that nothing is limited.
     pub fn none(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// The team of a name.
-    pub fn named(&self, name: &[u8]) -> Option<TeamId> {
+    /// Returns the team with this name.
+    pub fn find(&self, name: &[u8]) -> Option<TeamId> {
         self.0.iter().position(|t| t.name.as_bytes() == name).map(|i| i as TeamId)
     }
 
-    /// Whose a path is, and its class: the longest prefix says. A prefix covers whole segments only, so that
-    /// `/talks` is not the owner of `/talks-private`.
+    /// Returns the team and the class of a path, by the longest matching prefix. A prefix matches whole
+    /// segments only: `/talks` does not match `/talks-private`.
     pub fn route(&self, path: &str) -> Option<(TeamId, ClassId)> {
         let teams = self.0.iter().enumerate();
         let prefixes =
@@ -57,70 +57,73 @@
             .map(|(_, team, class)| (team, class))
     }
 
-    /// Does a contract cover the request?
-    pub fn covers(&self, ask: &ClientRequest) -> bool {
+    /// Returns whether the team's contract covers the request.
+    pub fn covers(&self, request: &ClientRequest) -> bool {
         if self.none() {
             return true;
         }
-        let Some(team) = ask.team.and_then(|t| self.0.get(usize::from(t))) else { return false };
-        let path = ask.path.as_deref().is_none_or(|p| self.route(p) == ask.team.map(|t| (t, ask.class)));
-        team.classes.contains(&ask.class) && path
+        let Some(team) = request.team.and_then(|t| self.0.get(usize::from(t))) else { return false };
+        let routed = |p: &str| self.route(p) == request.team.map(|t| (t, request.class));
+        let path = request.path.as_deref().is_none_or(routed);
+        team.classes.contains(&request.class) && path
     }
 }
 
-/// A bucket that fills with `rate` a second up to one second's worth.
+/// A token bucket that fills with `rate` tokens per second and holds at most one second's worth.
 #[derive(Debug, Clone, Copy)]
 struct Bucket {
     rate: f64,
     level: f64,
-    at: f64,
+    /// Time of the last refill (Unix seconds).
+    filled_at: f64,
 }
 
 impl Bucket {
     fn new(rate: f64) -> Self {
-        Bucket { rate, level: rate.max(1.0), at: f64::MIN }
+        Bucket { rate, level: rate.max(1.0), filled_at: f64::MIN }
     }
 
     fn fill(&mut self, now: f64) {
-        if self.at > f64::MIN {
-            self.level = (self.level + (now - self.at).max(0.0) * self.rate).min(self.rate.max(1.0));
+        if self.filled_at > f64::MIN {
+            self.level = (self.level + (now - self.filled_at).max(0.0) * self.rate).min(self.rate.max(1.0));
         }
-        self.at = self.at.max(now);
+        self.filled_at = self.filled_at.max(now);
     }
 
-    /// Seconds until the level is at least `wanted`.
+    /// Returns the seconds until the level is at least `wanted`.
     fn wait(&self, wanted: f64) -> f64 {
         ((wanted - self.level) / self.rate).max(0.0)
     }
 }
 
+/// A team's budget.
 struct Budget {
     requests: Bucket,
     bytes: Bucket,
     open: usize,
-    most: usize,
+    max_open: usize,
 }
 
-/// What teams have left.
+/// The teams' remaining budgets.
 pub struct Budgets(Vec<Budget>);
 
-/// A team with all its requests open is told to come back after so long (seconds).
-const OPEN_WAIT: f64 = 1.0;
+/// Retry delay for a team at its limit of open requests.
+const IN_FLIGHT_RETRY_SECONDS: f64 = 1.0;
 
 impl Budgets {
-    /// Full budgets.
+    /// Creates full budgets.
     pub fn new(contracts: &Contracts) -> Self {
         let budget = |t: &Team| Budget {
             requests: Bucket::new(t.requests_per_s),
             bytes: Bucket::new(t.bytes_per_s),
             open: 0,
-            most: t.in_flight,
+            max_open: t.in_flight,
         };
         Budgets(contracts.0.iter().map(budget).collect())
     }
 
-    /// Takes a request into its team's budget, or says when to come back. Bytes are charged when they are
-    /// served, so that a team in debt waits until it is paid.
+    /// Charges a request to its team's budget, or returns the retry delay (seconds). Bytes are charged when
+    /// they are served, so a team whose byte bucket is negative waits until it has refilled.
     pub fn admit(&mut self, now: f64, team: Option<TeamId>) -> Result<(), f64> {
         let Some(b) = team.and_then(|t| self.0.get_mut(usize::from(t))) else { return Ok(()) };
         b.requests.fill(now);
@@ -129,15 +132,15 @@
         if wait > 0.0 {
             return Err(wait);
         }
-        if b.open >= b.most {
-            return Err(OPEN_WAIT);
+        if b.open >= b.max_open {
+            return Err(IN_FLIGHT_RETRY_SECONDS);
         }
         b.requests.level -= 1.0;
         b.open += 1;
         Ok(())
     }
 
-    /// A request that was admitted has its answer, or was aborted.
+    /// Releases an admitted request that is answered or aborted, and charges the bytes served.
     pub fn release(&mut self, now: f64, team: Option<TeamId>, bytes: usize) {
         let Some(b) = team.and_then(|t| self.0.get_mut(usize::from(t))) else { return };
         b.open = b.open.saturating_sub(1);
@@ -164,32 +167,32 @@
     }
 
     #[test]
-    fn the_longest_prefix_of_whole_segments_owns_a_path() {
+    fn longest_prefix_of_whole_segments_owns_a_path() {
         let c = contracts();
         assert_eq!(c.route("/talks/1"), Some((0, ClassId(0))));
         assert_eq!(c.route("/talks/inner/1"), Some((1, ClassId(1))));
         assert_eq!(c.route("/talks-private/1"), None, "a prefix must not reach into a neighbour's name");
-        let ask = |team, class, path: &str| ClientRequest {
+        let request = |team, class, path: &str| ClientRequest {
             team,
             class: ClassId(class),
             path: Some(path.into()),
             ..ClientRequest::default()
         };
-        assert!(c.covers(&ask(Some(0), 0, "/talks/1")));
-        assert!(!c.covers(&ask(Some(0), 1, "/talks/1")), "a class outside the contract");
-        assert!(!c.covers(&ask(Some(0), 0, "/talks/inner/1")), "another team's path");
-        assert!(!c.covers(&ask(None, 0, "/talks/1")), "nobody");
-        assert!(Contracts::default().covers(&ask(None, 0, "/x")), "no contracts, no limits");
+        assert!(c.covers(&request(Some(0), 0, "/talks/1")));
+        assert!(!c.covers(&request(Some(0), 1, "/talks/1")), "a class outside the contract");
+        assert!(!c.covers(&request(Some(0), 0, "/talks/inner/1")), "another team's path");
+        assert!(!c.covers(&request(None, 0, "/talks/1")), "no team");
+        assert!(Contracts::default().covers(&request(None, 0, "/x")), "no contracts, no limits");
     }
 
     #[test]
-    fn budgets_run_out_and_fill_again() {
+    fn exhausted_budgets_refill() {
         let mut b = Budgets::new(&contracts());
         assert_eq!(b.admit(10.0, Some(0)), Ok(()));
         assert_eq!(b.admit(10.0, Some(0)), Ok(()));
         assert_eq!(b.admit(10.0, Some(0)), Err(0.5), "two a second");
         assert_eq!(b.admit(10.0, Some(1)), Ok(()), "another team's budget is its own");
-        assert_eq!(b.admit(11.0, Some(0)), Err(OPEN_WAIT), "two open");
+        assert_eq!(b.admit(11.0, Some(0)), Err(IN_FLIGHT_RETRY_SECONDS), "two open");
         b.release(11.0, Some(0), 3000);
         assert_eq!(b.admit(11.0, Some(0)), Err(2.0), "2,000 bytes in debt at 1,000 a second");
         b.release(13.0, Some(0), 0);
--- a/src/broker/timers.rs
+++ b/src/broker/timers.rs
@@ -1,17 +1,17 @@
-//! Absolute times at which something is to be done.
+//! A queue of timers by absolute time.
 
 use crate::interface::RequestId;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// What is to be done.
+/// What to do when a timer fires.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
-    /// The director asked to be woken.
+    /// Deliver an alarm that the director requested.
     Alarm(u64),
-    /// A request's time, or that of its attempt, is up.
+    /// Check the deadline of a request and the timeout of its attempt.
     Deadline(RequestId),
-    /// Whoever had this attempt of a request has heard by now that it was given up.
+    /// End an abandoned attempt: its node has read the cancel or reset by now.
     Propagated(RequestId, u16),
 }
 
@@ -20,22 +20,22 @@
 pub struct Timers(BinaryHeap<Reverse<(u64, Timer)>>);
 
 impl Timers {
-    /// Sets one.
+    /// Adds a timer that fires at `at` (Unix seconds).
     pub fn set(&mut self, at: f64, timer: Timer) {
         self.0.push(Reverse(((at.max(0.0) * 1e6).ceil() as u64, timer)));
     }
 
-    /// When the next is due.
+    /// Returns when the next timer is due (Unix seconds).
     pub fn next(&self) -> Option<f64> {
         self.0.peek().map(|t| t.0.0 as f64 / 1e6)
     }
 
-    /// Bytes that it takes.
+    /// Returns the heap memory in use (bytes).
     pub fn footprint(&self) -> usize {
         self.0.capacity() * size_of::<Reverse<(u64, Timer)>>()
     }
 
-    /// Takes one that is due.
+    /// Removes and returns the earliest timer if it is due.
     pub fn due(&mut self, now: f64) -> Option<Timer> {
         self.next().filter(|&at| at <= now)?;
         self.0.pop().map(|t| t.0.1)
--- a/src/config/classes.rs
+++ b/src/config/classes.rs
@@ -1,43 +1,58 @@
-//! The classes of requests by name.
+//! The classes of requests.
 
 use crate::interface::*;
 use rustc_hash::FxHashMap;
 use std::rc::Rc;
 
-/// The classes by the names that clients and cache nodes use.
+/// What a class demands of requests.
+#[derive(Debug)]
+struct ClassRules {
+    /// Deadline of the class (seconds).
+    deadline: f64,
+    /// Whether requests need an idempotency key.
+    needs_key: bool,
+    /// Whether answers are never stored by caches.
+    never_kept: bool,
+}
+
+/// The classes, by the names that clients and cache nodes use.
 #[derive(Debug, Default)]
 pub struct Classes {
     ids: FxHashMap<Vec<u8>, ClassId>,
     /// The names in the settings' order.
     pub names: Vec<Rc<str>>,
-    /// By class, in the same order: the longest that a client waits (seconds), whether it needs a key, and whether
-    /// its answers are no copies.
-    asks: Vec<(f64, bool, bool)>,
+    /// The rules of each class, in the same order.
+    rules: Vec<ClassRules>,
 }
 
 impl Classes {
-    /// Classes of these names, with what the settings say of each.
+    /// Creates the classes of these names from their settings.
     pub fn new(names: Vec<String>, classes: &[Class]) -> Self {
         let ids =
             names.iter().enumerate().map(|(i, n)| (n.clone().into_bytes(), ClassId(i as u16))).collect();
-        let asks = classes
+        let rules = classes
             .iter()
-            .map(|c| (c.deadline, matches!(c.effect, Effect::Keyed(_)), c.never_kept))
+            .map(|c| ClassRules {
+                deadline: c.deadline,
+                needs_key: matches!(c.effect, Effect::Keyed(_)),
+                never_kept: c.never_kept,
+            })
             .collect();
-        Classes { ids, names: names.into_iter().map(Into::into).collect(), asks }
+        Classes { ids, names: names.into_iter().map(Into::into).collect(), rules }
     }
 
-    /// The longest that a client of the class waits (seconds), and whether its requests need a key.
-    pub fn asks(&self, class: ClassId) -> (f64, bool) {
-        self.asks.get(usize::from(class.0)).map_or((0.0, false), |c| (c.0, c.1))
+    /// Returns the deadline of the class (seconds), and whether its requests need an idempotency key.
+    pub fn client_rules(&self, class: ClassId) -> (f64, bool) {
+        self.rules.get(usize::from(class.0)).map_or((0.0, false), |rules| (rules.deadline, rules.needs_key))
     }
 
-    /// Is the class never kept, so that the reserve is there for it?
+    /// Returns whether answers of the class are never stored by caches, so that its requests may use the
+    /// reserve.
     pub fn never_kept(&self, class: ClassId) -> bool {
-        self.asks.get(usize::from(class.0)).is_some_and(|c| c.2)
+        self.rules.get(usize::from(class.0)).is_some_and(|rules| rules.never_kept)
     }
 
-    /// The class of a name.
+    /// Returns the class with this name.
     pub fn get(&self, name: &[u8]) -> Option<ClassId> {
         self.ids.get(name).copied()
     }
--- a/src/config/loaded.rs
+++ b/src/config/loaded.rs
@@ -1,43 +1,44 @@
-//! What the files held, to compare a later reading with.
+//! The contents of the configuration files, for comparison on reload.
 
 use serde_json::{Map, Value};
 
-/// All that the files hold but the events of the start and the seed.
+/// The merged contents of the files, without the initial updates and the seed.
 #[derive(Debug, Default)]
 pub struct LoadedSettings(pub(super) Value);
 
 impl LoadedSettings {
-    /// Keys in which a later reading differs and that cannot change while the program runs. What was on at
-    /// the start stays on: where the coordinator or the discovery server is reached may change, and what memory is
-    /// held to.
-    pub fn fixed(&self, later: &LoadedSettings) -> Vec<String> {
+    /// Returns the keys in which `later` differs and that need a restart. Without one, only the addresses of
+    /// the coordinator and of the discovery server, its polling interval and the limits of memory may change;
+    /// discovery itself cannot be switched between the two.
+    pub fn restart_required(&self, later: &LoadedSettings) -> Vec<String> {
         let mut keys = Vec::new();
-        differing("", &self.0, &later.0, &mut keys);
+        collect_differences("", &self.0, &later.0, &mut keys);
         let xds = |loaded: &LoadedSettings| loaded.0.get("xds").is_some();
-        let live: &[&str] = match (xds(self), xds(later)) {
+        let reloadable: &[&str] = match (xds(self), xds(later)) {
             (true, true) => &["xds.server", "xds.refresh_s", "coordinator"],
             (false, false) => &["coordinator"],
             _ => &[],
         };
         let memory = |key: &str| key == "limits.memory_mb" || key == "memory" || key.starts_with("memory.");
-        keys.retain(|key| !live.contains(&key.as_str()) && !memory(key));
+        keys.retain(|key| !reloadable.contains(&key.as_str()) && !memory(key));
         keys
     }
 
-    /// All keys in which a later reading differs.
-    pub fn differs(&self, later: &LoadedSettings) -> Vec<String> {
+    /// Returns all keys in which `later` differs.
+    pub fn changed_keys(&self, later: &LoadedSettings) -> Vec<String> {
         let mut keys = Vec::new();
-        differing("", &self.0, &later.0, &mut keys);
+        collect_differences("", &self.0, &later.0, &mut keys);
         keys
     }
 
-    /// A digest of the settings, by which operators tell what a process runs: the same for the same keys and values in
-    /// any order.
+    /// Returns a digest of the settings, by which operators identify what a process runs. It does not depend
+    /// on the order of the keys.
     pub fn digest(&self) -> u64 {
         digest(&self.0)
     }
 }
 
+/// Returns the digest of a value.
 fn digest(value: &Value) -> u64 {
     let text = match value {
         Value::Object(map) => {
@@ -51,14 +52,14 @@
     xxhash_rust::xxh3::xxh3_64(text.as_bytes())
 }
 
-/// Names the keys under which two trees differ.
-fn differing(path: &str, old: &Value, new: &Value, keys: &mut Vec<String>) {
+/// Collects the keys in which two trees differ.
+fn collect_differences(path: &str, old: &Value, new: &Value, keys: &mut Vec<String>) {
     if let (Value::Object(old), Value::Object(new)) = (old, new) {
         let dot = if path.is_empty() { "" } else { "." };
         let missing = new.keys().filter(|key| !old.contains_key(*key));
         for key in old.keys().chain(missing) {
             let at = |tree: &Map<String, Value>| tree.get(key).cloned().unwrap_or_default();
-            differing(&format!("{path}{dot}{key}"), &at(old), &at(new), keys);
+            collect_differences(&format!("{path}{dot}{key}"), &at(old), &at(new), keys);
         }
     } else if old != new {
         keys.push(path.to_owned());
--- a/src/config/members.rs
+++ b/src/config/members.rs
@@ -1,14 +1,15 @@
-//! The coordinator's events of the start: the list of nodes, and purges.
+//! The coordinator's updates in the platform's file: the list of nodes, and purges.
 
 use super::key_path::KeyPath;
-use crate::broker::{Member, News};
+use crate::broker::{Member, DiscoveryUpdate};
 use crate::interface::*;
 
-pub(super) fn known(at: &KeyPath, zones: &[String], kinds: &[String]) -> Result<(u64, Vec<News>), String> {
-    let news = at.get("updates")?.list(|update| {
+/// Reads the updates, and the number of the last.
+pub(super) fn initial_updates(at: &KeyPath, zones: &[String], kinds: &[String]) -> Result<(u64, Vec<DiscoveryUpdate>), String> {
+    let updates = at.get("updates")?.list(|update| {
         if let Some(list) = update.opt("endpoints") {
             let full = list.get("complete")?.flag()?;
-            return Ok(Some(News::Roster {
+            return Ok(Some(DiscoveryUpdate::NodeList {
                 full,
                 members: list.get("members")?.list(|m| member(m, zones, kinds))?,
             }));
@@ -17,7 +18,7 @@
         let object = match purge.opt("ref") {
             Some(object) => {
                 let digits = u64::from_str_radix(object.text()?, 16);
-                Some(ObjectId(digits.map_err(|_| object.wrong("hexadecimal digits"))?))
+                Some(ObjectId(digits.map_err(|_| object.invalid("hexadecimal digits"))?))
             }
             None => None,
         };
@@ -25,22 +26,23 @@
             Some(_) => GroupId(0),
             None => GroupId(purge.get("shard")?.count()?.into()),
         };
-        Ok(Some(News::Purge { object, group, at: purge.get("unix_ms")?.number()? / 1000.0 }))
+        Ok(Some(DiscoveryUpdate::Purge { object, group, at: purge.get("unix_ms")?.number()? / 1000.0 }))
     })?;
-    Ok((at.get("index")?.whole()?, news.into_iter().flatten().collect()))
+    Ok((at.get("index")?.whole_number()?, updates.into_iter().flatten().collect()))
 }
 
+/// Reads a member of the list.
 pub(super) fn member(at: &KeyPath, zones: &[String], kinds: &[String]) -> Result<Member, String> {
-    let place = |key: &str, of: &[String]| {
+    let index = |key: &str, names: &[String]| {
         let word = at.get(key)?;
         let text = word.text()?;
-        let place = of.iter().position(|w| w == text).ok_or_else(|| word.wrong("a word of the settings"))?;
-        u16::try_from(place).map_err(|_| word.wrong("a place that can be counted"))
+        let index = names.iter().position(|w| w == text).ok_or_else(|| word.invalid("a name in the settings"))?;
+        u16::try_from(index).map_err(|_| word.invalid("one of the first 65536 names"))
     };
     let id = at.get("id")?;
     let digits = id.text()?.strip_prefix("s-").and_then(|d| u32::from_str_radix(d, 16).ok());
     let node = Node {
-        id: NodeId(digits.ok_or_else(|| id.wrong("'s-' and hexadecimal digits"))?.into()),
+        id: NodeId(digits.ok_or_else(|| id.invalid("'s-' and hexadecimal digits"))?.into()),
         state: at.get("phase")?.one_of(&[
             ("active", NodeState::Ready),
             ("leaving", NodeState::Draining),
@@ -48,9 +50,9 @@
         ])?,
         cell: at.opt("cell").map_or(Ok(0), |v| v.count())?,
         weight: at.opt("size").map_or(Ok(1.0), |v| v.number())?,
-        kind: place("flavor", kinds)?,
+        kind: index("flavor", kinds)?,
         ready_at: at.opt("up_since_ms").map_or(Ok(0.0), |v| v.number())? / 1000.0,
-        zone: ZoneId(place("locality", zones)?),
+        zone: ZoneId(index("locality", zones)?),
     };
     Ok(Member { node, address: at.get("host_port")?.address()? })
 }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,6 +1,6 @@
-//! The one place where configuration is read, checked and given defaults. A key that is missing, wrong or stands twice is
-//! an error that names its file, the key, and what would be right. The platform may have keys that are not known here,
-//! which are passed over; in what only the operator writes they are errors too.
+//! Reads and checks the configuration and applies defaults. A key that is missing, invalid or duplicated is
+//! an error that names the file, the key and what is expected. Unknown keys in the platform's file are
+//! ignored; in the operator's file they are errors.
 
 mod classes;
 mod key_path;
@@ -10,14 +10,14 @@
 mod settings;
 mod strict;
 
-use crate::broker::{Contracts, News};
+use crate::broker::{Contracts, DiscoveryUpdate};
 use crate::interface::*;
 use crate::memory::Plan;
 use crate::xds::Names;
 pub use classes::Classes;
 use key_path::{KeyPath, Sources};
 pub use loaded::LoadedSettings;
-use members::known;
+use members::initial_updates;
 use sections::{memory, signed, team, xds};
 use serde_json::{Map, Value};
 use settings::read_settings;
@@ -25,80 +25,80 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// All that one front is told.
+/// The configuration of a front.
 #[derive(Debug)]
 pub struct Config {
-    /// Its name, the same after a restart.
+    /// Name of the front, the same after a restart.
     pub name: String,
-    /// Where the platform's clients connect, if that front is on.
+    /// Address for the platform's clients, if that listener is enabled.
     pub listen: Option<SocketAddr>,
-    /// Where operators call, if anywhere: `admin_addr`, or `NODE_ADMIN_ADDR`, which counts over it.
+    /// Address of the operators' socket, if any: `NODE_ADMIN_ADDR`, else `admin_addr`.
     pub admin: Option<SocketAddr>,
-    /// For random numbers.
+    /// Seed of the random numbers.
     pub seed: u64,
-    /// What memory is held to, in all and by purpose.
+    /// Limits of memory, in total and by purpose.
     pub memory: Plan,
-    /// Most descriptors.
-    pub sockets: usize,
-    /// Where the coordinator listens, if there is one.
+    /// Maximum number of file descriptors.
+    pub max_descriptors: usize,
+    /// Address of the coordinator, if there is one.
     pub coordinator: Option<SocketAddr>,
-    /// The coordinator's events so far, and the number of the last.
-    pub known: (u64, Vec<News>),
-    /// What the director is set up with.
+    /// The number of the coordinator's last update before the start, and the updates up to it.
+    pub initial_updates: (u64, Vec<DiscoveryUpdate>),
+    /// Settings of the director.
     pub settings: Settings,
-    /// The classes by name.
+    /// The classes of requests by name.
     pub classes: Classes,
-    /// A connection to a cache node that is not made by then has failed (seconds).
-    pub connect_within: f64,
-    /// Cache nodes close idle connections after this (seconds).
-    pub keepalive: f64,
-    /// Most requests on one connection to a cache node.
-    pub streams: usize,
-    /// What a new connection to a cache node costs (points for each of a first try's); 0: nothing is charged.
-    pub handshake: f64,
-    /// The second front, if it is on.
+    /// Timeout for connecting to a cache node (seconds).
+    pub connect_timeout: f64,
+    /// Time after which cache nodes close idle connections (seconds).
+    pub node_idle_timeout: f64,
+    /// Maximum number of requests in flight on one connection to a cache node.
+    pub max_requests_per_connection: usize,
+    /// Cost of a new connection to a cache node, in points, where a first attempt costs one; 0: free.
+    pub handshake_cost: f64,
+    /// The listener for signed links, if enabled.
     pub signed: Option<Signed>,
-    /// Discovery in xDS form, if it is used.
+    /// Discovery by xDS, if enabled.
     pub xds: Option<Xds>,
-    /// What teams may ask for; nobody is limited where it is empty.
+    /// The teams' contracts; if empty, nothing is limited.
     pub contracts: Contracts,
-    /// Names of zones and kinds, in the settings' order.
+    /// Names of the zones and of the kinds of nodes, in the settings' order.
     pub names: Names,
-    /// What the files held, to compare a later reading with.
+    /// The contents of the files, for comparison on reload.
     pub loaded: LoadedSettings,
 }
 
-/// The second front.
+/// Settings of the listener for signed links.
 #[derive(Debug)]
 pub struct Signed {
-    /// Where it listens.
+    /// Address to listen on.
     pub listen: SocketAddr,
-    /// Scheme and authority that links are signed with.
+    /// Scheme and authority of the signed URIs.
     pub base: String,
-    /// Whom a token's `aud` must name.
+    /// Value that a token's `aud` claim must name.
     pub audience: Option<String>,
-    /// Clocks may differ by so much (seconds).
+    /// Tolerated clock difference (seconds).
     pub leeway: f64,
-    /// The file of the signers' keys.
+    /// File with the signers' keys.
     pub keys: PathBuf,
-    /// It is reread this often (seconds).
-    pub reread: f64,
-    /// A replaced key verifies for so long (seconds).
-    pub overlap: f64,
+    /// Interval at which the file of keys is reread (seconds).
+    pub keys_refresh: f64,
+    /// Time for which a replaced key remains valid (seconds).
+    pub key_overlap: f64,
 }
 
-/// Discovery in xDS form.
+/// Settings of discovery by xDS.
 #[derive(Debug)]
 pub struct Xds {
-    /// Where the discovery server listens.
+    /// Address of the discovery server.
     pub server: SocketAddr,
-    /// It is asked this often (seconds).
+    /// Polling interval (seconds).
     pub refresh: f64,
 }
 
-/// The operators' address that `NODE_ADMIN_ADDR` gives, where it is set: it counts over the file's, since a process
-/// that replaces another is told its own there.
-pub fn admin(variable: Option<&str>, config: &mut Config) -> Result<(), String> {
+/// Sets the operators' address from `NODE_ADMIN_ADDR`, if set. It takes precedence over the file because a
+/// process that replaces another gets its own address there.
+pub fn override_admin_address(variable: Option<&str>, config: &mut Config) -> Result<(), String> {
     if let Some(text) = variable {
         let wrong = |_| format!("NODE_ADMIN_ADDR: '{text}' is not an address and a port");
         config.admin = Some(text.trim().parse().map_err(wrong)?);
@@ -106,11 +106,11 @@
     Ok(())
 }
 
-/// A file's name, for messages, and its text.
+/// A file's name, for error messages, and its contents.
 pub type File<'a, T> = (&'a str, T);
 
-/// What stands at the top of an operator's file: the platform's keys, and the operator's own.
-const TOP: [&str; 14] = [
+/// Valid top-level keys of the operator's file: the platform's, and the operator's own.
+const TOP_LEVEL_KEYS: [&str; 14] = [
     "name",
     "listen",
     "admin_addr",
@@ -127,8 +127,8 @@
     "teams",
 ];
 
-/// Reads the platform's JSON and the operator's TOML, either of which may be missing. The operator's tables
-/// stand beside the platform's; where both have a key, the operator's counts.
+/// Reads the platform's JSON and the operator's TOML, either of which may be missing. Their top-level keys
+/// are merged; if both have a key, the operator's takes precedence.
 pub fn read(platform: Option<File<&[u8]>>, operator: Option<File<&str>>) -> Result<Config, String> {
     let mut tree = match &platform {
         None => Value::Object(Map::new()),
@@ -145,7 +145,7 @@
     let top = tree.as_object_mut().ok_or_else(|| format!("{platform}: not a JSON object"))?;
     top.extend(own.clone());
     let own_keys = Value::Object(own.clone());
-    KeyPath { value: &own_keys, what: operator, path: String::new(), sources: None }.only(&TOP)?;
+    KeyPath { value: &own_keys, file: operator, path: String::new(), sources: None }.only(&TOP_LEVEL_KEYS)?;
     let sources = Sources { platform, operator, own };
     let mut config = config(&tree, &sources)?;
     if let Value::Object(top) = &mut tree {
@@ -155,16 +155,17 @@
     Ok(config)
 }
 
+/// Builds the configuration from the merged files.
 fn config(value: &Value, sources: &Sources) -> Result<Config, String> {
-    let top = KeyPath { value, what: sources.platform, path: String::new(), sources: Some(sources) };
+    let top = KeyPath { value, file: sources.platform, path: String::new(), sources: Some(sources) };
     let inner = top.get("settings")?;
     let settings = read_settings(&inner)?;
     let caps = inner.get("caps")?;
-    let or = |at: &KeyPath, key: &str, default: f64| at.opt(key).map_or(Ok(default), |v| v.above_zero());
+    let above_zero_or = |at: &KeyPath, key: &str, default: f64| at.opt(key).map_or(Ok(default), |v| v.above_zero());
     let names = |key: &str| inner.get(key)?.names(KeyPath::text);
     let limits = top.get("limits")?;
     let seed = match top.opt("seed") {
-        Some(seed) => u64::from_str_radix(seed.text()?, 16).map_err(|_| seed.wrong("hexadecimal digits"))?,
+        Some(seed) => u64::from_str_radix(seed.text()?, 16).map_err(|_| seed.invalid("hexadecimal digits"))?,
         None => fastrand::u64(..),
     };
     let classes = inner.get("profiles")?.names(|c| c.get("name")?.text())?;
@@ -181,28 +182,31 @@
             sources.operator
         ));
     }
-    // The platform tells a first list and where its changes come from; xDS stands in for both.
-    let feed = xds.is_none();
-    let needed = |key: &str, off: bool| if off { Ok(top.opt(key)) } else { top.get(key).map(Some) };
-    let known = match needed("known", !feed)? {
-        Some(at) => known(&at, &names.zones, &names.kinds)?,
+    // The platform gives an initial list and the coordinator's address; xDS replaces both.
+    let use_coordinator = xds.is_none();
+    let required_unless = |key: &str, optional: bool| if optional { Ok(top.opt(key)) } else { top.get(key).map(Some) };
+    let initial_updates = match required_unless("known", !use_coordinator)? {
+        Some(at) => initial_updates(&at, &names.zones, &names.kinds)?,
         None => (0, Vec::new()),
     };
     Ok(Config {
         name: top.get("name")?.text()?.to_owned(),
-        listen: needed("listen", signed.is_some())?.map(|v| v.address()).transpose()?,
+        listen: required_unless("listen", signed.is_some())?.map(|v| v.address()).transpose()?,
         admin: top.opt("admin_addr").map(|v| v.address()).transpose()?,
         seed,
         memory: memory(&top, (limits.get("memory_mb")?.above_zero()? * 1e6) as usize, contracts.0.len())?,
-        sockets: limits.get("sockets")?.above_zero()? as usize,
-        coordinator: needed("coordinator", !feed)?.filter(|_| feed).map(|v| v.address()).transpose()?,
-        known,
+        max_descriptors: limits.get("sockets")?.above_zero()? as usize,
+        coordinator: required_unless("coordinator", !use_coordinator)?
+            .filter(|_| use_coordinator)
+            .map(|v| v.address())
+            .transpose()?,
+        initial_updates,
         settings,
         classes,
-        connect_within: or(&caps, "connect-timeout", 0.4)?,
-        keepalive: or(&caps, "keepalive", 15.0)?,
-        streams: or(&caps, "max-streams", 100.0)? as usize,
-        handshake: match inner.opt("prices").and_then(|prices| prices.opt("handshake")) {
+        connect_timeout: above_zero_or(&caps, "connect-timeout", 0.4)?,
+        node_idle_timeout: above_zero_or(&caps, "keepalive", 15.0)?,
+        max_requests_per_connection: above_zero_or(&caps, "max-streams", 100.0)? as usize,
+        handshake_cost: match inner.opt("prices").and_then(|prices| prices.opt("handshake")) {
             Some(price) => price.amount()?,
             None => 0.0,
         },
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -1,15 +1,16 @@
-//! The settings of the decisions, in the platform's form.
+//! The director's settings, in the platform's format.
 
 use super::key_path::KeyPath;
 use super::strict;
 use crate::interface::*;
 
-/// Translates the settings' text that an instance is started with.
+/// Parses the settings from JSON.
 pub fn settings(text: &[u8]) -> Result<Settings, String> {
     let value = strict::json(text).map_err(|e| format!("settings are not JSON: {e}"))?;
-    read_settings(&KeyPath { value: &value, what: "settings", path: String::new(), sources: None })
+    read_settings(&KeyPath { value: &value, file: "settings", path: String::new(), sources: None })
 }
 
+/// Reads the director's settings.
 pub(super) fn read_settings(top: &KeyPath) -> Result<Settings, String> {
     let caps = top.get("caps")?;
     let rules = top.get("invariants")?;
@@ -69,14 +70,15 @@
     };
     let zones = settings.hub_of_zone.len();
     if usize::from(settings.own_zone.0) >= zones {
-        return Err(top.get("az")?.wrong("the place of one of the zones"));
+        return Err(top.get("az")?.invalid("the place of one of the zones"));
     }
     if settings.hub_of_zone.iter().any(|z| usize::from(z.0) >= zones) {
-        return Err(site.get("zone-hub")?.wrong("a list of places of zones"));
+        return Err(site.get("zone-hub")?.invalid("a list of places of zones"));
     }
     Ok(settings)
 }
 
+/// Reads the settings of the classes.
 fn classes(top: &KeyPath, site: &KeyPath) -> Result<Vec<Class>, String> {
     let fresh = site.get("good-for")?.list(KeyPath::amount)?;
     let grace = site.get("usable-after")?.list(KeyPath::amount)?;
@@ -107,13 +109,13 @@
             ..Class::default()
         })
     })?;
-    let short = || site.wrong("a table that tells of as many classes as 'profiles'");
+    let too_short = || site.invalid("a table that tells of as many classes as 'profiles'");
     for (i, class) in classes.iter_mut().enumerate() {
-        class.fresh = *fresh.get(i).ok_or_else(short)?;
-        class.grace = *grace.get(i).ok_or_else(short)?;
-        class.stale_worth = *stale_worth.get(i).ok_or_else(short)?;
-        class.multi_part = *multi_part.get(i).ok_or_else(short)?;
-        class.never_kept = *never_kept.get(i).ok_or_else(short)?;
+        class.fresh = *fresh.get(i).ok_or_else(too_short)?;
+        class.grace = *grace.get(i).ok_or_else(too_short)?;
+        class.stale_worth = *stale_worth.get(i).ok_or_else(too_short)?;
+        class.multi_part = *multi_part.get(i).ok_or_else(too_short)?;
+        class.never_kept = *never_kept.get(i).ok_or_else(too_short)?;
     }
     Ok(classes)
 }
--- a/src/config/strict.rs
+++ b/src/config/strict.rs
@@ -1,28 +1,28 @@
-//! JSON in which each key stands once: of two, either could be the one that was meant.
+//! A JSON parser that rejects duplicate keys, of which either could be the intended one.
 
 use serde::de::{DeserializeSeed, Deserializer, Error, MapAccess, SeqAccess, Visitor};
 use serde_json::{Map, Value};
 use std::fmt;
 
-/// Reads a text as JSON; a key that stands twice is an error that names it with its path.
+/// Parses JSON; a duplicate key is an error that names its path.
 pub fn json(text: &[u8]) -> serde_json::Result<Value> {
     let mut from = serde_json::Deserializer::from_slice(text);
-    let value = Under(String::new()).deserialize(&mut from)?;
+    let value = ValueAtPath(String::new()).deserialize(&mut from)?;
     from.end()?;
     Ok(value)
 }
 
-/// A value under this path.
-struct Under(String);
+/// Deserializes the value at a path, which is the prefix of its keys in errors.
+struct ValueAtPath(String);
 
-impl<'de> DeserializeSeed<'de> for Under {
+impl<'de> DeserializeSeed<'de> for ValueAtPath {
     type Value = Value;
     fn deserialize<D: Deserializer<'de>>(self, from: D) -> Result<Value, D::Error> {
         from.deserialize_any(self)
     }
 }
 
-impl<'de> Visitor<'de> for Under {
+impl<'de> Visitor<'de> for ValueAtPath {
     type Value = Value;
     fn expecting(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         out.write_str("a JSON value")
@@ -47,7 +47,7 @@
     }
     fn visit_seq<A: SeqAccess<'de>>(self, mut from: A) -> Result<Value, A::Error> {
         let mut all = Vec::new();
-        while let Some(value) = from.next_element_seed(Under(format!("{}{}.", self.0, all.len())))? {
+        while let Some(value) = from.next_element_seed(ValueAtPath(format!("{}{}.", self.0, all.len())))? {
             all.push(value);
         }
         Ok(Value::Array(all))
@@ -59,7 +59,7 @@
             if all.contains_key(&key) {
                 return Err(A::Error::custom(format_args!("'{path}' stands twice, and may once")));
             }
-            let value = from.next_value_seed(Under(format!("{path}.")))?;
+            let value = from.next_value_seed(ValueAtPath(format!("{path}.")))?;
             all.insert(key, value);
         }
         Ok(Value::Object(all))
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -1,9 +1,9 @@
-//! Tests of `mod.rs`: what is refused, and what is said of it.
+//! Tests of `mod.rs`: which files are refused, and with which errors.
 
 use super::*;
 use serde_json::json;
 
-/// The operator's example, which has the platform's form too, as a platform's file and an operator's.
+/// The example of an operator's file, split into a platform's file and an operator's.
 fn files() -> (Value, toml::Table) {
     let mut own: toml::Table = toml::from_str(include_str!("../../deploy/operator.toml")).unwrap();
     let settings = serde_json::to_value(own.remove("settings").unwrap()).unwrap();
@@ -15,13 +15,13 @@
     (platform, own)
 }
 
-fn wrong(platform: &str, operator: Option<&str>) -> String {
+fn read_error(platform: &str, operator: Option<&str>) -> String {
     let operator = operator.map(|text| ("front.toml", text));
     let config = read(Some(("node.json", platform.as_bytes())), operator);
     config.map(|c| c.name).expect_err("it is refused")
 }
 
-/// Sets what a path names.
+/// Sets the value at a path.
 fn with(mut tree: Value, path: &str, value: Value) -> String {
     let at = path.split('.').fold(&mut tree, |at, key| match key.parse::<usize>() {
         Ok(i) => &mut at[i],
@@ -32,20 +32,20 @@
 }
 
 #[test]
-fn both_files_are_read_as_they_are() {
+fn both_example_files_are_accepted() {
     let (platform, own) = files();
     let text = platform.to_string();
     assert!(read(Some(("node.json", text.as_bytes())), None).is_ok());
     let own = toml::to_string(&own).unwrap();
     let both = read(Some(("node.json", text.as_bytes())), Some(("front.toml", &own)));
     assert!(both.is_ok(), "{:?}", both.err());
-    // The platform may say more than is known here.
+    // Unknown keys in the platform's file are ignored.
     let more = with(platform, "settings.caps.some-day", json!([1, {"a": null}]));
     assert!(read(Some(("node.json", more.as_bytes())), None).is_ok());
 }
 
 #[test]
-fn a_wrong_value_is_told_by_file_key_and_what_would_be_right() {
+fn invalid_value_is_reported_with_file_key_and_expectation() {
     let cases = [
         ("limits.sockets", json!("many"), "a number above 0"),
         ("limits.memory_mb", json!(-1), "a number above 0"),
@@ -73,27 +73,27 @@
         ("settings.specifics.sideways", json!("up"), "one of silent, location, any"),
         ("settings.specifics.purge-settles", json!(null), "a number of 0 or more"),
     ];
-    for (path, value, right) in cases {
-        let said = wrong(&with(files().0, path, value), None);
-        if right.is_empty() {
+    for (path, value, expected) in cases {
+        let error = read_error(&with(files().0, path, value), None);
+        if expected.is_empty() {
             assert_eq!(
-                said,
+                error,
                 "node.json: 'settings.specifics' is not a table that tells of as many classes as 'profiles'"
             );
             continue;
         }
-        assert_eq!(said, format!("node.json: '{path}' is not {right}"));
+        assert_eq!(error, format!("node.json: '{path}' is not {expected}"));
     }
 }
 
 #[test]
-fn what_is_missing_or_stands_twice_is_told() {
+fn missing_and_duplicate_keys_are_reported() {
     for path in ["name", "limits.sockets", "settings.caps.most-tries", "settings.profiles", "known.updates"] {
         let mut tree = files().0;
         let (above, key) = path.rsplit_once('.').unwrap_or(("", path));
         let at = above.split('.').filter(|k| !k.is_empty()).fold(&mut tree, |at, key| &mut at[key]);
         at.as_object_mut().unwrap().remove(key).unwrap();
-        assert_eq!(wrong(&tree.to_string(), None), format!("node.json: '{path}' is missing"));
+        assert_eq!(read_error(&tree.to_string(), None), format!("node.json: '{path}' is missing"));
     }
     let text = files().0.to_string();
     for (once, twice, path) in [
@@ -101,25 +101,25 @@
         (r#""sockets":"#, r#""sockets":64,"sockets":"#, "limits.sockets"),
         (r#""semantics":"#, r#""semantics":"at_most_once","semantics":"#, "settings.profiles.0.semantics"),
     ] {
-        let said = wrong(&text.replacen(once, twice, 1), None);
+        let error = read_error(&text.replacen(once, twice, 1), None);
         assert!(
-            said.starts_with(&format!("node.json: not JSON: '{path}' stands twice, and may once")),
-            "{said}"
+            error.starts_with(&format!("node.json: not JSON: '{path}' stands twice, and may once")),
+            "{error}"
         );
     }
-    // Nor two classes of one name, of which either could be meant.
-    let said = wrong(&with(files().0, "settings.profiles.1.name", json!("media")), None);
+    // Two classes of one name are refused too.
+    let error = read_error(&with(files().0, "settings.profiles.1.name", json!("media")), None);
     assert_eq!(
-        said,
+        error,
         "node.json: 'settings.profiles' is not a list without twins: 'media' stands twice in it"
     );
-    assert!(wrong("{\"name\": }", None).starts_with("node.json: not JSON: expected value"));
-    assert!(wrong("[]", None).starts_with("node.json: not a JSON object"));
-    assert!(wrong("{} {}", None).starts_with("node.json: not JSON: trailing characters"));
+    assert!(read_error("{\"name\": }", None).starts_with("node.json: not JSON: expected value"));
+    assert!(read_error("[]", None).starts_with("node.json: not a JSON object"));
+    assert!(read_error("{} {}", None).starts_with("node.json: not JSON: trailing characters"));
 }
 
 #[test]
-fn the_operators_file_is_held_to_what_is_known_there() {
+fn unknown_keys_in_the_operators_file_are_refused() {
     let (platform, own) = files();
     let platform = platform.to_string();
     let text = toml::to_string(&own).unwrap();
@@ -132,12 +132,12 @@
         ("[signed]", "[signed]\nbase = \"x\"", "not TOML: duplicate key"),
         ("[signed]", "[signed]\nlisten = 5", "not TOML: duplicate key"),
     ];
-    for (from, to, said) in cases {
+    for (from, to, expected) in cases {
         assert!(text.contains(from), "the example has '{from}': {text}");
-        let all = wrong(&platform, Some(&text.replacen(from, to, 1)));
-        assert!(all.starts_with("front.toml: ") && all.contains(said), "{all}");
+        let error = read_error(&platform, Some(&text.replacen(from, to, 1)));
+        assert!(error.starts_with("front.toml: ") && error.contains(expected), "{error}");
     }
-    // Of a key that both have, the operator's counts, and is the one that is named.
-    let said = wrong(&platform, Some(&format!("listen = 5\n{text}")));
-    assert_eq!(said, "front.toml: 'listen' is not a text");
+    // If both files have a key, the operator's takes precedence, and errors name the operator's file.
+    let error = read_error(&platform, Some(&format!("listen = 5\n{text}")));
+    assert_eq!(error, "front.toml: 'listen' is not a text");
 }
--- a/src/state/succession.rs
+++ b/src/state/succession.rs
@@ -1,81 +1,86 @@
-//! Which process of a front is the newest: a process that is told to end leaves new clients to its successor, if it has one.
+//! Records which process of a front is the newest, so that a process that is told to end can tell whether a
+//! successor takes new connections.
 //!
-//! The two share only `$TMPDIR`, and may have different views of `/proc`. The newest puts a `newest` file of its own in place,
-//! which has its name and which it holds a lock on: the system takes that back however it ends. Builds before this one write
-//! their pid into the `live` file alone, and look for another's there: it is still written and read.
+//! The processes share only `$TMPDIR`, and may have different views of `/proc`. The newest process puts a
+//! `newest` file with its name in place and holds a lock on it, which the kernel releases however the process
+//! ends. Earlier builds only write their pid to the `live` file and read it there, so that file is still
+//! written and read.
 
 use crate::{clock, log};
 use std::fs::{File, TryLockError};
 use std::io::{self, Read, Write};
 use std::path::{Path, PathBuf};
 
-/// What this process notes of itself, and the lock that it holds.
+/// This process's record, and the lock that it holds.
 pub struct Succession {
-    /// Where the newest process notes its name, and where it notes its pid.
+    /// The file with the name of the newest process.
     newest: PathBuf,
+    /// The file with the pid of the newest process.
     live: PathBuf,
-    /// The name that this process has noted.
+    /// Name of this process.
     name: String,
-    /// Held for as long as this process lives.
+    /// The locked `newest` file of this process, once it is registered.
     lock: Option<File>,
 }
 
 impl Succession {
-    /// Beside the file of the front's cordons.
+    /// Creates the record in files beside the front's file of cordons, without registering this process.
     pub fn new(cordons: &Path) -> Succession {
         let name = format!("{}-{:x}", std::process::id(), (clock::now() * 1e6) as u64);
         let (newest, live) = (cordons.with_extension("newest"), cordons.with_extension("live"));
         Succession { newest, live, name, lock: None }
     }
 
-    /// Notes that this process is the newest of the front, for the one that it replaces.
-    pub fn note(&mut self) {
-        if let Err(e) = self.try_note() {
-            log!("cannot note this process in '{}': {e}", self.newest.display());
+    /// Registers this process as the newest of the front, for the process that it replaces.
+    pub fn register(&mut self) {
+        if let Err(e) = self.try_register() {
+            log!("cannot register this process in '{}': {e}", self.newest.display());
         }
     }
 
-    fn try_note(&mut self) -> io::Result<()> {
+    fn try_register(&mut self) -> io::Result<()> {
         let new = self.newest.with_extension(format!("new-{}", self.name));
         let mut file = File::create(&new)?;
-        // Locked before anybody finds it; the file before keeps the lock of whoever wrote that.
+        // Locked before it is visible under its final name; the file that it replaces keeps its writer's
+        // lock.
         file.try_lock()?;
         file.write_all(self.name.as_bytes())?;
         std::fs::rename(&new, &self.newest).inspect_err(|_| {
             let _ = std::fs::remove_file(&new);
         })?;
         self.lock = Some(file);
-        // The name first: whoever sees the pid of this process alone would take it for one of an earlier build.
+        // Written after the name: a pid without a name would be taken for a process of an earlier build.
         std::fs::write(&self.live, std::process::id().to_string())
     }
 
-    /// Does another process of the front serve beside this one, which was not told to end? One that has ended takes no
-    /// clients, whatever it noted.
-    pub fn another_serves(&self) -> bool {
+    /// Returns whether a newer process of the front is running that was not told to end. One that has ended
+    /// is not counted, even if its files remain.
+    pub fn has_successor(&self) -> bool {
         let Ok(mut file) = File::open(&self.newest) else { return false };
         let mut newest = String::new();
         if file.read_to_string(&mut newest).is_err() {
             return false;
         }
         if newest == self.name {
-            // An earlier build's process notes its pid alone, and does not tell whether it still lives.
-            return self.noted_pid().is_some_and(|pid| pid != std::process::id());
+            // A process of an earlier build only records its pid; whether it still runs is not known.
+            return self.recorded_pid().is_some_and(|pid| pid != std::process::id());
         }
         matches!(file.try_lock_shared(), Err(TryLockError::WouldBlock))
     }
 
-    /// This process is about to end: if it is the newest, none is noted any more.
-    pub fn withdraw(&mut self) {
+    /// Removes this process's record before it ends, if it is still the newest.
+    pub fn unregister(&mut self) {
         if std::fs::read_to_string(&self.newest).is_ok_and(|newest| newest == self.name) {
             let _ = std::fs::remove_file(&self.newest);
-            if self.noted_pid() == Some(std::process::id()) {
+            if self.recorded_pid() == Some(std::process::id()) {
                 let _ = std::fs::remove_file(&self.live);
             }
         }
         self.lock = None;
     }
 
-    fn noted_pid(&self) -> Option<u32> {
+    /// Reads the pid in the `live` file.
+    fn recorded_pid(&self) -> Option<u32> {
         std::fs::read_to_string(&self.live).ok()?.trim().parse().ok()
     }
 }
