--- a/src/bin/onyxyoke-benchlink/wire.rs
+++ b/src/bin/onyxyoke-benchlink/wire.rs
@@ -196,11 +196,11 @@
             load: f.load()?,
         },
         5 => Event::Expired { request: RequestId(f.u32()?) },
-        6 => Event::Alarm { token: f.u64()? },
+        6 => Event::TimerFired { token: f.u64()? },
         7 => {
             let outcome = outcome(f.u16()?)?;
             let took = f.f64()?;
-            Event::Probed { node: f.node()?, outcome, took, load: f.load()? }
+            Event::ProbeEnd { node: f.node()?, outcome, took, load: f.load()? }
         }
         8 => {
             let from = PeerId(f.u16()?);
@@ -230,7 +230,7 @@
 
 fn entry(f: &mut Fields) -> Result<Node, String> {
     let state = match f.u8()? {
-        0 => NodeState::Gone,
+        0 => NodeState::Withdrawn,
         1 => NodeState::Ready,
         2 => NodeState::Draining,
         other => return Err(format!("availability {other} is unknown")),
@@ -253,7 +253,7 @@
         304 => Outcome::ConnectFailed,
         305 => Outcome::Reset,
         306 => Outcome::Cancelled,
-        307 => Outcome::Moot,
+        307 => Outcome::NotSent,
         other => return Err(format!("result {other} is unknown")),
     })
 }
@@ -265,11 +265,11 @@
         2 => Note::Filled,
         3 => Note::FilledFromOrigin,
         4 => Note::Joined,
-        5 => Note::Old,
+        5 => Note::Stale,
         6 => Note::SourceRefused,
         7 => Note::SourceFailed,
-        8 => Note::SourceLacks,
-        9 => Note::NoFillPlace,
+        8 => Note::SourceMiss,
+        9 => Note::NoFillSlot,
         10 => Note::OriginFailed,
         other => return Err(format!("detail {other} is unknown")),
     })
@@ -327,8 +327,8 @@
                 put_node(out, source);
                 out.push(rank);
                 out.extend(age.to_le_bytes());
-                let FillOptions { join, held_only, no_parent_copy, renew } = options;
-                let bits = [join, held_only, no_parent_copy, renew];
+                let FillOptions { join, only_if_cached, no_parent_copy, revalidate } = options;
+                let bits = [join, only_if_cached, no_parent_copy, revalidate];
                 out.push(bits.iter().enumerate().map(|(i, &on)| u8::from(on) << i).sum());
             }),
             Action::Refuse { request, wait } => self.record(1, |out| {
@@ -340,12 +340,12 @@
                 out.extend(request.0.to_le_bytes());
                 out.extend(attempt.to_le_bytes());
             }),
-            Action::Alarm { token, after } => self.record(4, |out| {
+            Action::SetTimer { token, after } => self.record(4, |out| {
                 out.extend(token.to_le_bytes());
                 out.extend(after.min(TIMER_MOST).to_le_bytes());
             }),
             Action::Probe { node } => self.record(5, |out| put_node(out, node)),
-            Action::Tell { to, content } => self.record(7, |out| {
+            Action::SendMessage { to, content } => self.record(7, |out| {
                 out.extend(to.map_or(EVERYONE, |p| p.0).to_le_bytes());
                 out.extend((content.len() as u16).to_le_bytes());
                 out.extend(content);
--- a/src/broker/admission.rs
+++ b/src/broker/admission.rs
@@ -31,14 +31,14 @@
             return self.reject(caller, request.class, Answer::DeadlineExceeded);
         }
         #[cfg(feature = "planted")]
-        if crate::planted::refuses(request.class.0) {
+        if crate::planted::should_refuse(request.class.0) {
             return self.reject(caller, request.class, Answer::Refused(0.1));
         }
         if !self.contracts.covers(&request) {
             return self.reject(caller, request.class, Answer::Forbidden);
         }
         if !self.reserve_tables() || self.callers.contains_key(&caller) {
-            let wait = self.director.settings().max_wait;
+            let wait = self.director.settings().max_retry_after;
             return self.reject(caller, request.class, Answer::Refused(wait));
         }
         if let Err(wait) = self.budgets.admit(now, request.team) {
@@ -65,7 +65,7 @@
                 .settings()
                 .classes
                 .get(usize::from(request.class.0))
-                .is_some_and(|c| c.never_kept),
+                .is_some_and(|c| c.uncacheable),
         });
         self.timers.set(request.deadline, timers::Timer::Deadline(id));
         self.callers.insert(caller, id);
@@ -78,7 +78,8 @@
     /// Reserves memory for the tables with one more request, before they grow, which they do by doubling.
     /// Returns whether it was granted.
     pub(super) fn reserve_tables(&mut self) -> bool {
-        let [open, callers, calls] = [self.open.capacity(), self.callers.capacity(), self.open_calls.capacity()];
+        let [open, callers, calls] =
+            [self.open.capacity(), self.callers.capacity(), self.open_calls.capacity()];
         let grown = |capacity: usize, len: usize| if len < capacity { capacity } else { 2 * capacity.max(4) };
         let table = |slots: usize, entry: usize| slots * 8 / 7 * (entry + 1);
         let bytes = table(grown(open, self.open.len()), size_of::<(RequestId, OpenRequest)>())
@@ -102,7 +103,7 @@
         // purges), which cannot be evicted, needs more, the beliefs are limited to what is left.
         let granted = self.learned_grant.resize(wanted).is_ok();
         let left = if granted { wanted } else { self.learned_grant.bytes() };
-        self.director.hold_to(left.saturating_sub(fixed));
+        self.director.set_memory_limit(left.saturating_sub(fixed));
     }
 
     /// Answers a request without handing it to the director.
--- a/src/broker/attempts.rs
+++ b/src/broker/attempts.rs
@@ -1,7 +1,7 @@
 //! The attempts of open requests: sending, cancelling and ending them, and whether a further attempt may
 //! follow.
 
-use super::{Answer, Broker, Caller, ClientRequest, Command, Content, Effect, Order, AttemptId, timers};
+use super::{Answer, AttemptId, Broker, Caller, ClientRequest, Command, Content, Effect, Order, timers};
 use crate::interface::*;
 use crate::membership::Membership;
 use std::cell::Cell;
@@ -52,10 +52,14 @@
     }
 
     /// Cancels the unwritten attempts for which `affected` returns true.
-    pub(super) fn cancel_unwritten(&mut self, affected: impl Fn(&Membership, &ClientRequest, &Attempt) -> bool) {
+    pub(super) fn cancel_unwritten(
+        &mut self,
+        affected: impl Fn(&Membership, &ClientRequest, &Attempt) -> bool,
+    ) {
         for (&request, open) in &mut self.open {
             for (i, a) in open.attempts.iter_mut().enumerate() {
-                if a.in_flight && !a.write_started && affected(&self.members, &open.request, a) && a.cancel() {
+                if a.in_flight && !a.write_started && affected(&self.members, &open.request, a) && a.cancel()
+                {
                     self.counters.recalled += 1;
                     let attempt_id = AttemptId { request, attempt: i as u16 };
                     self.effects.push(Effect::Command(Command::Cancel { attempt_id, node: a.node }));
@@ -78,7 +82,13 @@
     /// time, so that no two attempts of one request run at once: its node may read the cancel on one
     /// connection after the next attempt is read on another, or by another node. If no further attempt may
     /// follow, the attempt ends at once.
-    pub(super) fn handle_abandoned(&mut self, now: f64, attempt_id: AttemptId, outcome: Outcome, propagation: f64) {
+    pub(super) fn handle_abandoned(
+        &mut self,
+        now: f64,
+        attempt_id: AttemptId,
+        outcome: Outcome,
+        propagation: f64,
+    ) {
         let classes = &self.director.settings().classes;
         let shutdown_deadline = self.shutdown_deadline;
         let may_retry = self.open.get(&attempt_id.request).is_some_and(|o| {
@@ -99,14 +109,14 @@
     /// asked. The node is not blamed.
     pub(super) fn handle_no_memory(&mut self, now: f64, attempt_id: AttemptId) {
         let Some(open) = self.open.get(&attempt_id.request).filter(|o| !o.concluded) else {
-            return self.handle_attempt_end(now, attempt_id, Outcome::Moot, Note::None, 0.0, None);
+            return self.handle_attempt_end(now, attempt_id, Outcome::NotSent, Note::None, 0.0, None);
         };
         self.counters.no_memory += 1;
         let settings = self.director.settings();
         let effect = settings.classes.get(usize::from(open.request.class.0)).map(|c| c.effect);
         let answer = match effect {
             Some(crate::interface::Effect::Safe | crate::interface::Effect::Keyed(Scope::All)) => {
-                Answer::Refused(settings.max_wait)
+                Answer::Refused(settings.max_retry_after)
             }
             _ => Answer::Failed,
         };
@@ -114,7 +124,7 @@
             a.cancel();
         }
         self.answer(now, attempt_id.request, answer);
-        self.handle_attempt_end(now, attempt_id, Outcome::Moot, Note::None, 0.0, None);
+        self.handle_attempt_end(now, attempt_id, Outcome::NotSent, Note::None, 0.0, None);
     }
 
     /// Returns the attempt with this id.
@@ -209,12 +219,12 @@
                 self.cancel_request(now, request);
             }
             let done = self.open.get(&request).is_none_or(|o| o.concluded);
-            self.counters.count_attempt_end(Outcome::Moot, Note::None);
+            self.counters.count_attempt_end(Outcome::NotSent, Note::None);
             return self.pending_events.push_back(Event::AttemptEnd {
                 request,
                 attempt: attempt_id.attempt,
                 node,
-                outcome: Outcome::Moot,
+                outcome: Outcome::NotSent,
                 took: 0.0,
                 done,
                 note: Note::None,
@@ -230,8 +240,8 @@
         }
         // The fetch's age limit applies if it has one, else the class's freshness lifetime plus its grace
         // period.
-        let never_kept = rules.is_some_and(|c| c.never_kept);
-        let grace = rules.filter(|c| c.fresh > 0.0).map(|c| c.fresh + c.grace);
+        let uncacheable = rules.is_some_and(|c| c.uncacheable);
+        let grace = rules.filter(|c| c.fresh_for > 0.0).map(|c| c.fresh_for + c.grace);
         let min_created_at = if age > 0.0 { Some(age) } else { grace }.map_or(0.0, |limit| now - limit);
         let order = Order {
             attempt_id,
@@ -244,7 +254,7 @@
             options,
             due,
             min_created_at,
-            never_kept,
+            uncacheable,
             requeues: 0,
             cancelled,
             begin_by,
--- a/src/broker/messages.rs
+++ b/src/broker/messages.rs
@@ -4,7 +4,7 @@
 use super::metrics::Count;
 use super::tenants::TeamId;
 use crate::interface::*;
-use crate::memory::{AccountOwner, Grant, Ledger, Purpose, Refused};
+use crate::memory::{AccountOwner, Grant, Ledger, MemoryRefusal, Purpose};
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -86,15 +86,22 @@
 }
 
 impl ClientRequest {
-    /// Reserves memory for the request and for a body of `body` bytes. A `precious` request may use the
+    /// Reserves memory for the request and for a body of `body` bytes. A `may_use_reserve` request may use the
     /// reserve.
-    pub fn reserve_memory(&mut self, memory: &Ledger, precious: bool, body: usize) -> Result<(), Refused> {
-        let holder = |purpose| AccountOwner { purpose, team: self.team, precious };
-        if !memory.admits(REQUEST_OVERHEAD_BYTES + body, precious) {
-            return Err(memory.refuse(Purpose::Waiting));
+    pub fn reserve_memory(
+        &mut self,
+        memory: &Ledger,
+        may_use_reserve: bool,
+        body: usize,
+    ) -> Result<(), MemoryRefusal> {
+        let holder = |purpose| AccountOwner { purpose, team: self.team, may_use_reserve };
+        if !memory.admits(REQUEST_OVERHEAD_BYTES + body, may_use_reserve) {
+            return Err(memory.count_refusal(Purpose::Waiting));
         }
-        self.memory_grants =
-            [memory.ask(holder(Purpose::Waiting), REQUEST_OVERHEAD_BYTES)?, memory.ask(holder(Purpose::Bodies), body)?];
+        self.memory_grants = [
+            memory.acquire(holder(Purpose::Waiting), REQUEST_OVERHEAD_BYTES)?,
+            memory.acquire(holder(Purpose::Bodies), body)?,
+        ];
         Ok(())
     }
 }
@@ -198,7 +205,7 @@
     /// A copy made before this time is too old to be served (Unix seconds).
     pub min_created_at: f64,
     /// Whether the answer is never stored by caches, as that to a write.
-    pub never_kept: bool,
+    pub uncacheable: bool,
     /// How often the order was requeued because a connection ended before the write began.
     pub requeues: u8,
     /// Set as soon as the attempt is cancelled, so that it is not sent whichever queue it is in.
@@ -246,7 +253,7 @@
     AttemptEnded {
         /// The attempt.
         attempt_id: AttemptId,
-        /// Its outcome; `Moot` if it was cancelled before its write, `Cancelled` if on the wire.
+        /// Its outcome; `NotSent` if it was cancelled before its write, `Cancelled` if on the wire.
         outcome: Outcome,
         /// Where the content came from, or why there is none.
         note: Note,
--- a/src/broker/mod.rs
+++ b/src/broker/mod.rs
@@ -6,8 +6,8 @@
 mod admission;
 mod attempts;
 mod counters;
-mod metrics;
 mod messages;
+mod metrics;
 #[cfg(test)]
 mod model;
 mod run;
@@ -15,16 +15,16 @@
 mod timers;
 
 pub use counters::Counters;
-pub use metrics::{Count, Metrics, Gauges};
 pub use messages::{
-    Answer, Caller, ClientRequest, Command, Content, Effect, Input, Member, DiscoveryUpdate, Order, REQUEST_OVERHEAD_BYTES, Report,
-    AttemptId,
+    Answer, AttemptId, Caller, ClientRequest, Command, Content, DiscoveryUpdate, Effect, Input, Member,
+    Order, REQUEST_OVERHEAD_BYTES, Report,
 };
-pub use run::{Shutdown, Inputs, OperatorRequest, run};
+pub use metrics::{Count, Gauges, Metrics};
+pub use run::{Inputs, OperatorRequest, Shutdown, run};
 pub use tenants::{Contracts, Team, TeamId};
 
 use crate::interface::*;
-use crate::membership::{SavedOverrides, Membership, OperatorOverride};
+use crate::membership::{Membership, OperatorOverride, SavedOverrides};
 use crate::memory::{AccountOwner, Grant, Ledger, Purpose};
 use crate::{Director, log};
 use attempts::OpenRequest;
@@ -99,8 +99,10 @@
             timers: Timers::default(),
             shutdown_deadline: f64::INFINITY,
             next_id: 0,
-            table_grant: setup.memory.empty(AccountOwner { precious: true, ..AccountOwner::of(Purpose::Waiting) }),
-            learned_grant: setup.memory.empty(AccountOwner::of(Purpose::Learned)),
+            table_grant: setup
+                .memory
+                .empty_grant(AccountOwner { may_use_reserve: true, ..AccountOwner::of(Purpose::Waiting) }),
+            learned_grant: setup.memory.empty_grant(AccountOwner::of(Purpose::Learned)),
             memory: setup.memory,
             pending_events: VecDeque::new(),
             actions: Vec::new(),
@@ -112,7 +114,7 @@
 
     /// Publishes the gauges for operators; `waiting` requests are still queued for the broker.
     pub fn publish(&self, now: f64, waiting: usize) {
-        let avoided = |n: &Node| n.state != NodeState::Ready || self.director.avoids(now, n.id);
+        let avoided = |n: &Node| n.state != NodeState::Ready || self.director.is_ejected(now, n.id);
         self.metrics.publish(Gauges {
             inflight: (self.callers.len() + waiting) as u64,
             hosts_listed: self.members.len() as u64,
@@ -218,7 +220,7 @@
     /// be cold.
     pub fn saved_overrides(&self, now: f64) -> SavedOverrides {
         let s = self.director.settings();
-        self.members.saved_overrides(now, s.cold_for.max(s.parent_cold_for))
+        self.members.saved_overrides(now, s.warm_up_time.max(s.parent_warm_up_time))
     }
 
     /// Hands the director the nodes whose view changed, and cancels unwritten attempts to those no longer
@@ -313,7 +315,7 @@
     pub fn fire_timers(&mut self, now: f64) {
         while let Some(timer) = self.timers.due(now) {
             match timer {
-                timers::Timer::Alarm(token) => self.dispatch(now, Event::Alarm { token }),
+                timers::Timer::Alarm(token) => self.dispatch(now, Event::TimerFired { token }),
                 timers::Timer::Deadline(id) => self.handle_deadline(now, id),
                 timers::Timer::Propagated(request, attempt) => {
                     self.finish_abandoned(now, AttemptId { request, attempt })
@@ -336,7 +338,9 @@
         }
         let Some(open) = self.open.get_mut(&id).filter(|o| !o.concluded) else { return };
         let mut cancel_requested = false;
-        for (i, a) in open.attempts.iter_mut().enumerate().filter(|(_, a)| a.in_flight && a.abandoned_as.is_none()) {
+        for (i, a) in
+            open.attempts.iter_mut().enumerate().filter(|(_, a)| a.in_flight && a.abandoned_as.is_none())
+        {
             cancel_requested |= !std::mem::replace(&mut a.timed_out, true);
             let attempt_id = AttemptId { request: id, attempt: i as u16 };
             if a.cancel() {
@@ -390,10 +394,10 @@
                     self.effects.push(Effect::Command(Command::Cancel { attempt_id, node }));
                 }
             }
-            Action::Alarm { token, after } => self.timers.set(now + after, timers::Timer::Alarm(token)),
+            Action::SetTimer { token, after } => self.timers.set(now + after, timers::Timer::Alarm(token)),
             // The platform pushes its list, and this front neither probes nodes nor sends messages to other
             // directors.
-            Action::Probe { .. } | Action::Tell { .. } | Action::Watch { .. } | Action::ReadList => {}
+            Action::Probe { .. } | Action::SendMessage { .. } | Action::Watch { .. } | Action::ReadList => {}
         }
     }
 }
--- a/src/broker/model.rs
+++ b/src/broker/model.rs
@@ -16,7 +16,7 @@
     Outcome::Error,
     Outcome::ConnectFailed,
     Outcome::Reset,
-    Outcome::Moot,
+    Outcome::NotSent,
 ];
 /// Time that a node may take to read that an attempt was abandoned.
 const PROPAGATION_SECONDS: f64 = 0.01;
@@ -36,16 +36,16 @@
         own_zone: ZoneId(1),
         directors_by_zone: vec![0, 1],
         hub_of_zone: vec![ZoneId(0), ZoneId(0)],
-        zone_link: vec![0.0, 50_000.0],
-        flow: 1000.0,
+        zone_link_kb_per_s: vec![0.0, 50_000.0],
+        answer_kb_per_s: 1000.0,
         classes: vec![class(ClassEffect::Safe), class(ClassEffect::Unsafe)],
         parent_kind: Some(1),
         origin_kind: 2,
-        sources: SiblingScope::Zone,
+        sibling_sources: SiblingScope::Zone,
         cancel: true,
-        most_tries: 8,
-        max_wait: 0.5,
-        purge_settles: 6.0,
+        max_attempts: 8,
+        max_retry_after: 0.5,
+        purge_settle_time: 6.0,
         ..Settings::default()
     };
     let (class_names, contracts) = (vec!["safe".into(), "unsafe".into()], Rc::new(contracts));
@@ -147,8 +147,13 @@
                 match effect {
                     Effect::Command(Command::Send(order)) => {
                         let key = (order.attempt_id.request.0, order.attempt_id.attempt);
-                        prop_assert!(self.in_flight.keys().all(|k| k.0 != key.0), "two attempts in flight for {:?}", key);
-                        let node_unaware = self.abandoned.iter().any(|(k, until)| k.0 == key.0 && *until > self.now);
+                        prop_assert!(
+                            self.in_flight.keys().all(|k| k.0 != key.0),
+                            "two attempts in flight for {:?}",
+                            key
+                        );
+                        let node_unaware =
+                            self.abandoned.iter().any(|(k, until)| k.0 == key.0 && *until > self.now);
                         prop_assert!(
                             !node_unaware,
                             "the next attempt of {:?} before its node read that the last was abandoned",
@@ -171,7 +176,7 @@
                         self.end(
                             broker,
                             key,
-                            if self.in_flight[&key].written { Outcome::Cancelled } else { Outcome::Moot },
+                            if self.in_flight[&key].written { Outcome::Cancelled } else { Outcome::NotSent },
                             false,
                         );
                     }
@@ -180,10 +185,15 @@
                         let open = self.unanswered.remove(&caller.tag);
                         prop_assert!(open.is_some(), "an answer that is not due: {:?}", answer);
                         match answer {
-                            Answer::Served(content) => prop_assert_eq!(Some(content.body), self.node_answer.take()),
+                            Answer::Served(content) => {
+                                prop_assert_eq!(Some(content.body), self.node_answer.take())
+                            }
                             Answer::Refused(wait) => {
                                 prop_assert!(wait > 0.0, "a refusal has a retry delay");
-                                prop_assert!(!self.executed.contains(&caller.tag), "refused, but may have been executed");
+                                prop_assert!(
+                                    !self.executed.contains(&caller.tag),
+                                    "refused, but may have been executed"
+                                );
                             }
                             Answer::Failed | Answer::DeadlineExceeded => {}
                             other => prop_assert!(false, "{:?} without contracts", other),
@@ -210,7 +220,10 @@
             let propagation = PROPAGATION_SECONDS;
             return broker.handle_report(self.now, Report::Abandoned { attempt_id, outcome, propagation });
         }
-        broker.handle_report(self.now, Report::AttemptEnded { attempt_id, outcome, note, source_wait: 0.0, content });
+        broker.handle_report(
+            self.now,
+            Report::AttemptEnded { attempt_id, outcome, note, source_wait: 0.0, content },
+        );
     }
 }
 
@@ -265,10 +278,15 @@
             }
             Step::Node { id, state } => {
                 let id = u64::from(id) % NODES;
-                let state = [NodeState::Ready, NodeState::Draining, NodeState::Gone][usize::from(state) % 3];
+                let state =
+                    [NodeState::Ready, NodeState::Draining, NodeState::Withdrawn][usize::from(state) % 3];
                 w.states[id as usize] = state;
                 let before: Vec<_> = w.in_flight.iter().filter(|o| !o.1.written).map(|o| *o.0).collect();
-                broker.apply_update(w.now, DiscoveryUpdate::NodeList { full: false, members: vec![member(id, state)] }, false);
+                broker.apply_update(
+                    w.now,
+                    DiscoveryUpdate::NodeList { full: false, members: vec![member(id, state)] },
+                    false,
+                );
                 w.check_effects(&mut broker)?;
                 // An unwritten attempt must not be sent to a draining node, nor name it as a source.
                 for out in before.iter().filter_map(|k| w.in_flight.get(k)) {
@@ -279,7 +297,11 @@
             Step::Purge { object, group } => {
                 let object = (!group).then_some(ObjectId(object.into()));
                 let before: Vec<_> = w.in_flight.iter().filter(|o| !o.1.written).map(|o| *o.0).collect();
-                broker.apply_update(w.now, DiscoveryUpdate::Purge { object, group: GroupId(3), at: w.now }, false);
+                broker.apply_update(
+                    w.now,
+                    DiscoveryUpdate::Purge { object, group: GroupId(3), at: w.now },
+                    false,
+                );
                 w.check_effects(&mut broker)?;
                 for out in before.iter().filter_map(|k| w.in_flight.get(k)) {
                     let affected = object.is_none_or(|o| o == out.order.request.object);
@@ -304,7 +326,10 @@
         w.check_effects(&mut broker)?;
     }
     prop_assert!(w.unanswered.is_empty() && w.in_flight.is_empty());
-    prop_assert!(broker.open.is_empty() && broker.open_calls.is_empty(), "state of finished requests is left");
+    prop_assert!(
+        broker.open.is_empty() && broker.open_calls.is_empty(),
+        "state of finished requests is left"
+    );
     Ok(())
 }
 
@@ -397,14 +422,19 @@
     broker.apply_update(START, DiscoveryUpdate::NodeList { full: true, members }, true);
     let send = |broker: &mut Broker, now: f64, tag: u64| {
         let (object, call) = (ObjectId(tag), tag.to_string().into());
-        let request = ClientRequest { object, size_kb: 10.0, deadline: now + 60.0, call, ..ClientRequest::default() };
+        let request =
+            ClientRequest { object, size_kb: 10.0, deadline: now + 60.0, call, ..ClientRequest::default() };
         broker.handle_request(now, Caller { connection: 1, tag }, request);
-        let sent = |e| if let Effect::Command(Command::Send(order)) = e { Some(order.attempt_id) } else { None };
+        let sent =
+            |e| if let Effect::Command(Command::Send(order)) = e { Some(order.attempt_id) } else { None };
         broker.effects().find_map(sent)
     };
     let hit = |broker: &mut Broker, now: f64, attempt_id: AttemptId| {
         let (outcome, note, content) = (Outcome::Ok, Note::Hit, Some(Content::default()));
-        broker.handle_report(now, Report::AttemptEnded { attempt_id, outcome, note, source_wait: 0.0, content });
+        broker.handle_report(
+            now,
+            Report::AttemptEnded { attempt_id, outcome, note, source_wait: 0.0, content },
+        );
         broker.effects().for_each(drop);
     };
     for n in 0..LEARNING_REQUESTS {
--- a/src/broker/run.rs
+++ b/src/broker/run.rs
@@ -1,7 +1,7 @@
 //! The task that owns the broker.
 
-use super::{Answer, Broker, Caller, Command, Effect, Input, DiscoveryUpdate, Report};
-use crate::membership::{SavedOverrides, OperatorOverride};
+use super::{Answer, Broker, Caller, Command, DiscoveryUpdate, Effect, Input, Report};
+use crate::membership::{OperatorOverride, SavedOverrides};
 use crate::{clock, turns};
 use rustc_hash::FxHashMap;
 use std::cell::Cell;
@@ -80,7 +80,7 @@
             match effect {
                 Effect::Command(command) => {
                     #[cfg(feature = "planted")]
-                    if let Some(late) = crate::planted::delay() {
+                    if let Some(late) = crate::planted::attempt_delay() {
                         let commands = commands.clone();
                         tokio::task::spawn_local(async move {
                             tokio::time::sleep(late).await;
@@ -159,7 +159,11 @@
 }
 
 /// Handles a message from a client connection, and keeps the reply channels of open requests.
-fn handle_input(broker: &mut Broker, replies: &mut FxHashMap<Caller, UnboundedSender<(u64, Answer)>>, input: Input) {
+fn handle_input(
+    broker: &mut Broker,
+    replies: &mut FxHashMap<Caller, UnboundedSender<(u64, Answer)>>,
+    input: Input,
+) {
     match input {
         Input::Request { caller, request, reply } => {
             replies.insert(caller, reply);
--- a/src/config/classes.rs
+++ b/src/config/classes.rs
@@ -12,7 +12,7 @@
     /// Whether requests need an idempotency key.
     needs_key: bool,
     /// Whether answers are never stored by caches.
-    never_kept: bool,
+    uncacheable: bool,
 }
 
 /// The classes, by the names that clients and cache nodes use.
@@ -35,7 +35,7 @@
             .map(|c| ClassRules {
                 deadline: c.deadline,
                 needs_key: matches!(c.effect, Effect::Keyed(_)),
-                never_kept: c.never_kept,
+                uncacheable: c.uncacheable,
             })
             .collect();
         Classes { ids, names: names.into_iter().map(Into::into).collect(), rules }
@@ -48,8 +48,8 @@
 
     /// Returns whether answers of the class are never stored by caches, so that its requests may use the
     /// reserve.
-    pub fn never_kept(&self, class: ClassId) -> bool {
-        self.rules.get(usize::from(class.0)).is_some_and(|rules| rules.never_kept)
+    pub fn uncacheable(&self, class: ClassId) -> bool {
+        self.rules.get(usize::from(class.0)).is_some_and(|rules| rules.uncacheable)
     }
 
     /// Returns the class with this name.
--- a/src/config/members.rs
+++ b/src/config/members.rs
@@ -1,11 +1,15 @@
 //! The coordinator's updates in the platform's file: the list of nodes, and purges.
 
 use super::key_path::KeyPath;
-use crate::broker::{Member, DiscoveryUpdate};
+use crate::broker::{DiscoveryUpdate, Member};
 use crate::interface::*;
 
 /// Reads the updates, and the number of the last.
-pub(super) fn initial_updates(at: &KeyPath, zones: &[String], kinds: &[String]) -> Result<(u64, Vec<DiscoveryUpdate>), String> {
+pub(super) fn initial_updates(
+    at: &KeyPath,
+    zones: &[String],
+    kinds: &[String],
+) -> Result<(u64, Vec<DiscoveryUpdate>), String> {
     let updates = at.get("updates")?.list(|update| {
         if let Some(list) = update.opt("endpoints") {
             let full = list.get("complete")?.flag()?;
@@ -36,7 +40,8 @@
     let index = |key: &str, names: &[String]| {
         let word = at.get(key)?;
         let text = word.text()?;
-        let index = names.iter().position(|w| w == text).ok_or_else(|| word.invalid("a name in the settings"))?;
+        let index =
+            names.iter().position(|w| w == text).ok_or_else(|| word.invalid("a name in the settings"))?;
         u16::try_from(index).map_err(|_| word.invalid("one of the first 65536 names"))
     };
     let id = at.get("id")?;
@@ -46,7 +51,7 @@
         state: at.get("phase")?.one_of(&[
             ("active", NodeState::Ready),
             ("leaving", NodeState::Draining),
-            ("left", NodeState::Gone),
+            ("left", NodeState::Withdrawn),
         ])?,
         cell: at.opt("cell").map_or(Ok(0), |v| v.count())?,
         weight: at.opt("size").map_or(Ok(1.0), |v| v.number())?,
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -161,11 +161,14 @@
     let inner = top.get("settings")?;
     let settings = read_settings(&inner)?;
     let caps = inner.get("caps")?;
-    let above_zero_or = |at: &KeyPath, key: &str, default: f64| at.opt(key).map_or(Ok(default), |v| v.above_zero());
+    let above_zero_or =
+        |at: &KeyPath, key: &str, default: f64| at.opt(key).map_or(Ok(default), |v| v.above_zero());
     let names = |key: &str| inner.get(key)?.names(KeyPath::text);
     let limits = top.get("limits")?;
     let seed = match top.opt("seed") {
-        Some(seed) => u64::from_str_radix(seed.text()?, 16).map_err(|_| seed.invalid("hexadecimal digits"))?,
+        Some(seed) => {
+            u64::from_str_radix(seed.text()?, 16).map_err(|_| seed.invalid("hexadecimal digits"))?
+        }
         None => fastrand::u64(..),
     };
     let classes = inner.get("profiles")?.names(|c| c.get("name")?.text())?;
@@ -184,7 +187,8 @@
     }
     // The platform gives an initial list and the coordinator's address; xDS replaces both.
     let use_coordinator = xds.is_none();
-    let required_unless = |key: &str, optional: bool| if optional { Ok(top.opt(key)) } else { top.get(key).map(Some) };
+    let required_unless =
+        |key: &str, optional: bool| if optional { Ok(top.opt(key)) } else { top.get(key).map(Some) };
     let initial_updates = match required_unless("known", !use_coordinator)? {
         Some(at) => initial_updates(&at, &names.zones, &names.kinds)?,
         None => (0, Vec::new()),
--- a/src/config/sections.rs
+++ b/src/config/sections.rs
@@ -4,14 +4,14 @@
 use super::key_path::KeyPath;
 use super::{Signed, Xds};
 use crate::broker::Team;
-use crate::memory::{AccountLimits, PURPOSES, Plan, Purpose};
+use crate::memory::{LimitOverrides, PURPOSES, Plan, Purpose};
 
 /// Default share of each account that one of several teams may hold.
 const TEAM_SHARE: f64 = 0.5;
 
 /// Reads the table of memory by purpose: sizes in megabytes (`cap_mb`) or shares of the total (`cap`).
 pub(super) fn memory(top: &KeyPath, total: usize, teams: usize) -> Result<Plan, String> {
-    let mut requested = [AccountLimits::default(); PURPOSES];
+    let mut requested = [LimitOverrides::default(); PURPOSES];
     let mut share = if teams > 1 { TEAM_SHARE } else { 1.0 };
     let Some(table) = top.opt("memory") else {
         return Plan::new(total, &requested, share).map_err(|e| format!("{}: {e}", top.file));
@@ -31,9 +31,9 @@
                 Some(name) => (name, at.number()? * 1e6),
                 None => (
                     key,
-                    at.number()
-                        .and_then(|s| if s <= 1.0 { Ok(s) } else { Err(at.invalid("a share of 1 at most")) })?
-                        * total as f64,
+                    at.number().and_then(|s| {
+                        if s <= 1.0 { Ok(s) } else { Err(at.invalid("a share of 1 at most")) }
+                    })? * total as f64,
                 ),
             };
             let field = match name {
--- a/src/brain.rs
+++ b/src/director.rs
@@ -111,7 +111,7 @@
     lag_at: f64,
     pace: Pace,
     /// What this director sent it lately.
-    own: Share,
+    own: RecentWork,
     hearing: Hearing,
     /// When the newest attempt went that it has answered.
     answered: f64,
@@ -157,7 +157,7 @@
     source: NodeId,
     /// The source is a sibling; the source is to give only what it holds (siblings always).
     sibling: bool,
-    held_only: bool,
+    only_if_cached: bool,
     n: usize,
     believed: bool,
     /// Chance that the node lacks the object, so that the source has work with it.
@@ -176,7 +176,7 @@
     rng: fastrand::Rng,
     nodes: BTreeMap<NodeId, Known>,
     edges: Vec<NodeId>,
-    parents: Ring,
+    parents: ParentRing,
     origin: Option<NodeId>,
     /// When the event came that is handled.
     now: f64,
@@ -186,7 +186,7 @@
     /// When an object or group was purged, and when this director heard.
     purges: Purges,
     /// Which objects are hot, and why caches were chosen.
-    heat: Heat,
+    heat: PopularitySketch,
     reasons: ReasonCounts,
     /// Mean sending time by class.
     work: Vec<f64>,
@@ -215,23 +215,23 @@
     pub fn new(seed: u64, settings: Settings) -> Self {
         let zone = usize::from(settings.own_zone.0);
         let told = settings
-            .zone_link
+            .zone_link_kb_per_s
             .get(zone)
-            .filter(|&&l| l > 0.0 && settings.flow > 0.0)
-            .map(|l| l / settings.flow);
+            .filter(|&&l| l > 0.0 && settings.answer_kb_per_s > 0.0)
+            .map(|l| l / settings.answer_kb_per_s);
         let work = vec![WORK_GUESS; settings.classes.len()];
         Director {
             settings,
             rng: fastrand::Rng::with_seed(seed),
             nodes: BTreeMap::new(),
             edges: Vec::new(),
-            parents: Ring::default(),
+            parents: ParentRing::default(),
             origin: None,
             now: 0.0,
             open: FxHashMap::default(),
             held: Beliefs::new(seed, BELIEF_AGE),
             purges: Purges::default(),
-            heat: Heat::default(),
+            heat: PopularitySketch::default(),
             reasons: ReasonCounts::default(),
             hits: vec![0.0; work.len()],
             sizes: vec![Sizes::default(); work.len()],
@@ -260,12 +260,12 @@
     }
 
     /// Beliefs may take so many bytes from now on; what is over that is forgotten, oldest first.
-    pub fn hold_to(&mut self, bytes: usize) {
-        self.held.hold_to(bytes);
+    pub fn set_memory_limit(&mut self, bytes: usize) {
+        self.held.set_memory_limit(bytes);
     }
 
     /// How many nodes it remembers.
-    pub fn known_nodes(&self) -> usize {
+    pub fn node_count(&self) -> usize {
         self.nodes.len()
     }
 
@@ -275,24 +275,24 @@
     }
 
     /// Does it keep away from a node now, having blamed it?
-    pub fn avoids(&self, now: f64, id: NodeId) -> bool {
+    pub fn is_ejected(&self, now: f64, id: NodeId) -> bool {
         self.nodes.get(&id).is_some_and(|k| k.blamed.is_some_and(|(trial, _)| now < trial))
     }
 
     /// Takes one event and appends what is to be done.
     pub fn handle(&mut self, now: f64, event: Event, actions: &mut Vec<Action>) {
         self.now = now;
-        self.standstill.event(now, matches!(event, Event::Alarm { .. }));
+        self.standstill.event(now, matches!(event, Event::TimerFired { .. }));
         match event {
             Event::List { kind, nodes } => self.list(now, kind, &nodes, actions),
             Event::Request(request) => {
                 if usize::from(request.class.0) >= self.settings.classes.len() {
                     return actions.push(Action::Fail { request: request.id });
                 }
-                if let Some(sending) = self.settings.sending(request.kb) {
+                if let Some(sending) = self.settings.transfer_time(request.kb) {
                     smooth(&mut self.work[usize::from(request.class.0)], sending, SMOOTH);
                 }
-                self.heat.saw(now, request.object, request.part, self.sending(&request));
+                self.heat.record(now, request.object, request.part, self.sending(&request));
                 let open = Open { request, came: now, ..Open::default() };
                 self.open.insert(request.id, open);
                 self.decide(now, request.id, actions);
@@ -308,9 +308,9 @@
                 self.attempt_end(now, request, attempt, end, actions);
             }
             Event::Expired { request } => self.finish(request),
-            Event::Alarm { token } => self.look(now, token, actions),
+            Event::TimerFired { token } => self.look(now, token, actions),
             Event::Purged { object, group, age } => self.purged(now, object, group, age),
-            Event::Probed { .. } | Event::Message { .. } => {}
+            Event::ProbeEnd { .. } | Event::Message { .. } => {}
         }
     }
 
@@ -318,7 +318,8 @@
     /// many out as this one has in the mean; what it sees at a single cache is too little to go by.
     fn transfers(&self, k: &Known) -> f64 {
         k.out
-            + (self.settings.sharers() - 1.0) * self.caches.peers() * k.size / self.edges.len().max(1) as f64
+            + (self.settings.own_zone_directors() - 1.0) * self.caches.peers() * k.size
+                / self.edges.len().max(1) as f64
     }
 
     /// Expected slowdown of one more transfer from a cache, and over the link in.
@@ -350,7 +351,7 @@
 
     /// Fills of all directors over the link in.
     fn fills(&self) -> f64 {
-        self.link_in.out + (self.settings.sharers() - 1.0) * self.link_in.peers()
+        self.link_in.out + (self.settings.own_zone_directors() - 1.0) * self.link_in.peers()
     }
 
     // ---- The list of nodes ----
@@ -364,8 +365,9 @@
             self.nodes.values_mut().for_each(|k| k.listed = false);
         }
         // What comes new is no emptier than the others, or else all that is free to choose would go there.
-        let own: f64 = self.edges.iter().filter_map(|e| Some(self.nodes.get(e)?.own.by(now))).sum();
-        let (level, me) = (Share::level(now, own / self.edges.len().max(1) as f64), self.settings.me);
+        let own: f64 = self.edges.iter().filter_map(|e| Some(self.nodes.get(e)?.own.decayed(now))).sum();
+        let (level, me) =
+            (RecentWork::new(now, own / self.edges.len().max(1) as f64), self.settings.director_number);
         for info in nodes {
             let known =
                 self.nodes.entry(info.id).or_insert_with(|| Known { own: level, ..Known::new(*info, me) });
@@ -384,12 +386,12 @@
         self.origin = listed().find(|n| n.kind == origin_kind).map(|n| n.id);
         let hub = self.settings.hub_of_zone.get(usize::from(self.settings.own_zone.0));
         let parents = listed().filter(|n| Some(n.kind) == parent_kind);
-        self.parents = Ring::new(parents.map(|n| (n.id, Some(&n.zone) == hub)));
+        self.parents = ParentRing::new(parents.map(|n| (n.id, Some(&n.zone) == hub)));
         let own = self.settings.own_zone;
         let edge = |n: &Node| Some(n.kind) != parent_kind && n.kind != origin_kind && n.zone == own;
         self.edges = listed().filter(edge).map(|n| n.id).collect();
         // Where weights tell the links, the mean one is known from the start.
-        if self.settings.weights_told && !self.edges.is_empty() {
+        if self.settings.weights_are_link_sizes && !self.edges.is_empty() {
             let sum: f64 = self.edges.iter().map(|e| self.nodes[e].info.weight).sum();
             let mean = sum / self.edges.len() as f64;
             let sized = |k: &mut Known| k.size = (k.info.weight / mean.max(1e-9)).max(0.01);
@@ -407,14 +409,14 @@
     // ---- Purges ----
 
     fn purged(&mut self, now: f64, object: Option<ObjectId>, group: GroupId, age: f64) {
-        let keep = BELIEF_AGE.max(self.settings.purge_settles + PURGE_MARGIN);
+        let keep = BELIEF_AGE.max(self.settings.purge_settle_time + PURGE_MARGIN);
         self.purges.heard(now, object.ok_or(group), now - age.max(0.0), keep);
     }
 
     /// Oldest age allowed by purges, while caches may still hold copies from before.
     fn purge_limit(&self, now: f64, request: &Request) -> Option<f64> {
         let (at, _) = self.purges.of(request.object, request.group)?;
-        let settled = at + self.settings.purge_settles + PURGE_MARGIN;
+        let settled = at + self.settings.purge_settle_time + PURGE_MARGIN;
         (now < settled).then(|| (now - at - PURGE_MARGIN).max(AGE_LEAST))
     }
 
@@ -424,7 +426,7 @@
     fn holders(&self, now: f64, request: &Request) -> Vec<NodeId> {
         let heard = self.purges.of(request.object, request.group).map_or(f64::MIN, |f| f.1);
         let mut holders = Vec::new();
-        self.held.each(request.object, request.part, |id, at| {
+        self.held.for_each_holder(request.object, request.part, |id, at| {
             let known = self.nodes.get(&id).filter(|k| k.listed);
             if at > heard && at + BELIEF_AGE > now && known.is_some_and(|k| at > k.info.ready_at) {
                 holders.push(id);
@@ -437,7 +439,7 @@
 
     /// Sending time at full pace, from the size or else the class's mean.
     fn sending(&self, request: &Request) -> f64 {
-        self.settings.sending(request.kb).unwrap_or(self.work[usize::from(request.class.0)])
+        self.settings.transfer_time(request.kb).unwrap_or(self.work[usize::from(request.class.0)])
     }
 
     fn class(&self, request: &Request) -> &Class {
@@ -448,7 +450,7 @@
         let request = self.open[&id].request;
         let sending = self.sending(&request);
         let mean = self.work[usize::from(request.class.0)];
-        let never_kept = self.class(&request).never_kept;
+        let uncacheable = self.class(&request).uncacheable;
         // Exception, sparing: while the origin fails most that comes to it, only so many fills may go there
         // as it has answered lately and once more; for the others the parent gives what it holds. Guards
         // against a crowded origin that answers nobody, fed by tries that fail (tariff's grown big-1).
@@ -461,14 +463,14 @@
         let usable: Vec<NodeId> = self.edges.iter().copied().filter(takes).collect();
         // Rendezvous order of the object: the same at all directors of a zone. A hot one has several homes,
         // and what leaves no copy has all.
-        let count = match never_kept {
+        let count = match uncacheable {
             true => usable.len(),
-            false => self.heat.homes(now, request.object, request.part, sending, self.edges.len()),
+            false => self.heat.home_count(now, request.object, request.part, sending, self.edges.len()),
         };
-        let start = Cold::of(&self.settings, false);
-        let home = |&node: &NodeId| Home { node, weight: self.nodes[&node].size };
-        let homes = Homes::new(request.object.0, count, usable.iter().map(home));
-        let drawn = request.object.0 ^ u64::from(self.settings.me) << 48;
+        let start = SlowStart::from_settings(&self.settings, false);
+        let home = |&node: &NodeId| WeightedCache { node, weight: self.nodes[&node].size };
+        let homes = RendezvousOrder::new(request.object.0, count, usable.iter().map(home));
+        let drawn = request.object.0 ^ u64::from(self.settings.director_number) << 48;
         let hashed = homes.pick(count, drawn, |home| self.load(now, &start, home));
         let holders = self.holders(now, &request);
         let n = holders.len().min(COUNTS - 1);
@@ -480,25 +482,25 @@
         candidates.extend(hashed.filter(|&h| !among(&candidates, h)).map(stretched));
         // Exception, spreading: where every candidate's link is full, the next by hash joins the choice.
         if candidates.iter().all(|c| c.1 > SPREAD_AT) {
-            let next = hashed.and_then(|h| homes.other(h)).filter(|&h| !among(&candidates, h));
+            let next = hashed.and_then(|h| homes.first_except(h)).filter(|&h| !among(&candidates, h));
             candidates.extend(next.map(stretched));
         }
         // Miss penalty M: what a fill from above takes beyond a hit, and what it takes of the link in.
         let jam = self.jam() - 1.0;
         let extra = upper.map_or(PENALTY_MOST, |u| self.nodes[&u].fill_lag(now) * (sending + FILL_BASE));
         let penalty = (extra + sending * (jam + LINK_SHARE)).min(PENALTY_MOST);
-        let siblings = self.settings.sources != SiblingScope::None && !never_kept;
+        let siblings = self.settings.sibling_sources != SiblingScope::None && !uncacheable;
         let mut best: Option<Choice> = None;
         for &(node, stretch) in &candidates {
             let believed = holders.contains(&node);
             let known = &self.nodes[&node];
             let access = known.lag + sending * stretch;
-            let cold = start.part(now, known.info.ready_at) < 1.0;
+            let cold = start.capacity_share(now, known.info.ready_at) < 1.0;
             let spread = Some(node) != hashed && !believed;
-            let signs = [known.blamed.is_some(), cold, spread, never_kept, count > 1, believed];
-            let why = RoutingReason::first(signs);
+            let signs = [known.blamed.is_some(), cold, spread, uncacheable, count > 1, believed];
+            let why = RoutingReason::from_flags(signs);
             let absent = self.exclusion.chance(believed, n);
-            let from_upper = upper.or((believed && !never_kept).then_some(node)).map(|source| {
+            let from_upper = upper.or((believed && !uncacheable).then_some(node)).map(|source| {
                 (source, false, access + penalty * absent, access + if believed { 0.0 } else { penalty })
             });
             let siblings = holders.iter().filter(|&&h| siblings && h != node && fit(h));
@@ -508,12 +510,12 @@
             });
             for (source, sibling, cost, latency) in from_upper.into_iter().chain(from_siblings) {
                 if best.is_none_or(|b| cost < b.cost) {
-                    let held_only = sibling || sparing && source != node;
+                    let only_if_cached = sibling || sparing && source != node;
                     best = Some(Choice {
                         node,
                         source,
                         sibling,
-                        held_only,
+                        only_if_cached,
                         n,
                         believed,
                         absent,
@@ -540,7 +542,7 @@
             // A jam of its link shows in how its fills flow; the origin's, which is everybody's, in their
             // wait.
             let jammed = |b: NodeId| self.nodes[&b].pace.alone(now) > STRETCHED;
-            let slow = draw == NEAR_DRAWS && self.parents.has_far() && best.is_some_and(jammed);
+            let slow = draw == NEAR_DRAWS && self.parents.spans_hubs() && best.is_some_and(jammed);
             if draw >= NEAR_DRAWS && best.is_some() && !slow || self.parents.is_empty() {
                 break;
             }
@@ -556,7 +558,7 @@
     // ---- Decisions ----
 
     fn decide(&mut self, now: f64, id: RequestId, actions: &mut Vec<Action>) {
-        let (open, tries) = (&self.open[&id], TRIES.min(usize::from(self.settings.most_tries)));
+        let (open, tries) = (&self.open[&id], TRIES.min(usize::from(self.settings.max_attempts)));
         let over = now >= open.request.expires || open.attempts.len() >= tries;
         let choice = if over { None } else { self.choose(now, id) };
         let Some(choice) = choice else { return self.give_up(id, actions) };
@@ -569,7 +571,8 @@
         // refused 4% of a day on which 1% were late.
         let full = choice.stretch.max(self.jam());
         let admit = ADMIT.1 - (ADMIT.1 - ADMIT.0) * ((full - 1.0) / (CROWDED - 1.0)).min(1.0);
-        let admit = admit * (1.0 - UNSEEN.0 * ((self.settings.sharers() - 1.0) / UNSEEN.1).min(1.0));
+        let admit =
+            admit * (1.0 - UNSEEN.0 * ((self.settings.own_zone_directors() - 1.0) / UNSEEN.1).min(1.0));
         // Nor is it worth a full link if the client will not wait. Some of each size are taken all the same.
         let (waits, class) = (open.request.expires - open.came, usize::from(open.request.class.0));
         let late = full > 1.0 && spent + choice.latency > (admit * aim).min(waits) && self.may_refuse(open);
@@ -584,21 +587,21 @@
         let request = self.open[&id].request;
         let class = self.class(&request);
         let limit = self.purge_limit(now, &request);
-        let age = limit.map_or(0.0, |l| if class.fresh > 0.0 { l.min(class.fresh) } else { l });
+        let age = limit.map_or(0.0, |l| if class.fresh_for > 0.0 { l.min(class.fresh_for) } else { l });
         let options = FillOptions {
-            join: self.settings.joins && limit.is_none() && !choice.sibling,
-            held_only: choice.held_only,
+            join: self.settings.join_fills && limit.is_none() && !choice.sibling,
+            only_if_cached: choice.only_if_cached,
             no_parent_copy: false,
-            renew: class.fresh > 0.0 && limit.is_none(),
+            revalidate: class.fresh_for > 0.0 && limit.is_none(),
         };
-        let rank = if class.never_kept { 0 } else { RANK + u8::from(choice.n > 0) };
+        let rank = if class.uncacheable { 0 } else { RANK + u8::from(choice.n > 0) };
         let (node, source) = (choice.node, choice.source);
         actions.push(Action::Fetch { request: id, node, within: 0.0, source, rank, age, options });
         self.reasons.count(choice.why);
         self.book(now, &choice, 1.0, self.work[usize::from(request.class.0)]);
         let sending = self.sending(&request);
         if let Some(k) = self.nodes.get_mut(&node) {
-            k.own.sent(now, sending);
+            k.own.add(now, sending);
             k.hearing.sent(now + choice.latency);
         }
         let then = (self.transfers(&self.nodes[&node]), self.fills());
@@ -615,7 +618,7 @@
         if let Some(a) = self.open.get_mut(&id).and_then(|open| open.attempts.get_mut(number)) {
             a.look_at = now + after;
         }
-        actions.push(Action::Alarm { token: u64::from(id.0) << 16 | number as u64, after });
+        actions.push(Action::SetTimer { token: u64::from(id.0) << 16 | number as u64, after });
     }
 
     /// Counts an attempt in (1, with its class mean) or out (-1, with the work done) at the links it uses.
@@ -625,7 +628,7 @@
             let Some(k) = self.nodes.get_mut(&who) else { continue };
             k.out = (k.out + step * part).max(0.0);
             if step > 0.0 {
-                k.charge(now, part * work, self.settings.fall_window);
+                k.charge(now, part * work, self.settings.overload_window);
             }
             match k.info.kind {
                 kind if kind == self.settings.origin_kind => {}
@@ -652,7 +655,7 @@
             }
         }
         actions.push(match self.may_refuse(open) {
-            true => Action::Refuse { request: id, wait: self.settings.max_wait },
+            true => Action::Refuse { request: id, wait: self.settings.max_retry_after },
             false => Action::Fail { request: id },
         });
         self.finish(id);
@@ -679,7 +682,7 @@
 
     /// May this node get a further attempt, given what earlier ones may have done?
     fn may_send(&self, now: f64, open: &Open, node: &Node) -> bool {
-        if !self.settings.duplicate && open.attempts.iter().any(|a| a.out) {
+        if !self.settings.concurrent_attempts && open.attempts.iter().any(|a| a.out) {
             return false;
         }
         let class = self.class(&open.request);
@@ -726,12 +729,12 @@
 
     /// What the outcome says of content and latency.
     fn learn(&mut self, now: f64, request: &Request, seen: &Attempt, end: &End) {
-        let Choice { node, source, n, believed, sibling, held_only, .. } = seen.choice;
+        let Choice { node, source, n, believed, sibling, only_if_cached, .. } = seen.choice;
         let sending = self.sending(request);
-        let hit = matches!(end.note, Note::Hit | Note::Old);
+        let hit = matches!(end.note, Note::Hit | Note::Stale);
         let filled = matches!(end.note, Note::Filled | Note::FilledFromOrigin | Note::Joined);
-        let lacked = end.note == Note::SourceLacks
-            || end.outcome == Outcome::Miss && end.note == Note::None && held_only;
+        let lacked = end.note == Note::SourceMiss
+            || end.outcome == Outcome::Miss && end.note == Note::None && only_if_cached;
         let absent = filled || end.outcome == Outcome::Miss || lacked;
         // A timed-out, refused or failed attempt says nothing about content.
         if end.outcome == Outcome::Ok && hit || absent {
@@ -757,7 +760,7 @@
         let expected = k.lag + sending * slow;
         let class = usize::from(request.class.0);
         let flowed = end.took - end.source_wait - k.lag;
-        if request.kb == 0.0 && (hit || self.settings.classes[class].never_kept) {
+        if request.kb == 0.0 && (hit || self.settings.classes[class].uncacheable) {
             // The plain mean at first: a guess that fades slowly makes pages look like films (ibf0141), and
             // what is never kept, which has no hits, for good (grand-large).
             self.hits[class] += 1.0;
@@ -789,15 +792,15 @@
     /// What the outcome says of health; returns whom this request should avoid from now on.
     fn health(&mut self, now: f64, id: RequestId, seen: &Attempt, end: &End) -> Option<NodeId> {
         let filled = matches!(end.note, Note::Filled | Note::FilledFromOrigin);
-        let Choice { node, source, held_only, believed, .. } = seen.choice;
-        let told = self.settings.notes == Notes::All;
+        let Choice { node, source, only_if_cached, believed, .. } = seen.choice;
+        let told = self.settings.note_detail == NoteDetail::All;
         // Nor does one that was given no time, by a client's short wait or a standstill of this front.
         let unread = end.took < seen.choice.latency || now < self.standstill.caught_up_at();
         let early = end.outcome == Outcome::TimedOut && unread;
         if early || seen.dropped && matches!(end.outcome, Outcome::TimedOut | Outcome::Cancelled) {
             return None;
         }
-        let (likely, note) = (!believed && !held_only, end.note);
+        let (likely, note) = (!believed && !only_if_cached, end.note);
         let ok = note == Note::FilledFromOrigin || !told && note == Note::Filled;
         let failed = match end.outcome {
             Outcome::TimedOut | Outcome::Cancelled => likely,
@@ -808,7 +811,7 @@
             *calls = (calls.0 * fade(calls.1, now) + f64::from(u8::from(yes)), now);
         }
         let unclear = !told
-            && !held_only
+            && !only_if_cached
             && Some(source) != self.origin
             && !self.open[&id].avoid.contains(&source)
             && node != source;
@@ -822,7 +825,7 @@
             }
         }
         let (guilty, proof) = match end.outcome {
-            Outcome::Ok | Outcome::Moot | Outcome::Miss => return None,
+            Outcome::Ok | Outcome::NotSent | Outcome::Miss => return None,
             // An origin in trouble must not cost the parents, which still hold much (i24eb3c).
             _ if end.note == Note::OriginFailed => return None,
             _ if matches!(note, Note::SourceRefused | Note::SourceFailed) => (source, false),
@@ -916,7 +919,7 @@
         open.avoid.extend(guilty);
         open.attempts[number].cancelled = true;
         actions.push(Action::Cancel { request: id, attempt: number as u16 });
-        if self.settings.duplicate {
+        if self.settings.concurrent_attempts {
             self.decide(now, id, actions);
         }
     }
@@ -930,9 +933,9 @@
     }
 
     /// What was sent to a cache lately per unit of its link: a cold one has only a part of it yet.
-    fn load(&self, now: f64, start: &Cold, id: NodeId) -> f64 {
+    fn load(&self, now: f64, start: &SlowStart, id: NodeId) -> f64 {
         let k = &self.nodes[&id];
-        k.own.by(now) / (k.size * start.part(now, k.info.ready_at).max(0.01))
+        k.own.decayed(now) / (k.size * start.capacity_share(now, k.info.ready_at).max(0.01))
     }
 
     /// Does a cold node's budget bear this much more work? What warm nodes of its tier carry in the mean, all
@@ -940,23 +943,24 @@
     fn room(&self, now: f64, k: &Known, work: f64) -> bool {
         let s = &self.settings;
         let parent = Some(k.info.kind) == s.parent_kind;
-        let cold = Cold::of(s, parent);
+        let cold = SlowStart::from_settings(s, parent);
         let ready_at = k.info.ready_at;
-        if cold.part(now, ready_at) >= 1.0 {
+        if cold.capacity_share(now, ready_at) >= 1.0 {
             return true;
         }
         let (carried, rate) = if parent {
-            (self.above.carried / self.parents.parents().max(1.0), f64::INFINITY)
+            (self.above.carried / self.parents.parent_count().max(1.0), f64::INFINITY)
         } else {
             let blamed = |e: &&NodeId| self.nodes[*e].blamed.is_some();
             let takers = (self.edges.len() - self.edges.iter().filter(blamed).count()).max(1) as f64;
             let lately = self.caches.carried / work.max(1e-3);
             (self.caches.carried / self.edges.len().max(1) as f64, self.heat.rate(now).max(lately) / takers)
         };
-        let link = if s.weights_told { k.info.weight } else { (cold.sharers * carried).max(LINK_SAFE) };
-        let lately = k.sent.iter().filter(|x| x.0 + s.fall_window > now).map(|x| x.1).sum();
-        let seed = k.info.id.0 ^ u64::from(s.me) << 32;
-        cold.admits(SlowStartRequest { now, ready_at, link, work, lately, rate, seed })
+        let link =
+            if s.weights_are_link_sizes { k.info.weight } else { (cold.sharers * carried).max(LINK_SAFE) };
+        let lately = k.sent.iter().filter(|x| x.0 + s.overload_window > now).map(|x| x.1).sum();
+        let seed = k.info.id.0 ^ u64::from(s.director_number) << 32;
+        cold.admits(SlowStartRequest { now, ready_at, link, work, recent_work: lately, rate, seed })
     }
 }
 
@@ -971,7 +975,7 @@
 
 impl Known {
     fn new(info: Node, me: u16) -> Self {
-        let (never, pace) = (f64::MIN, Pace::new(unit(info.id.0, u64::from(me))));
+        let (never, pace) = (f64::MIN, Pace::new(unit_hash(info.id.0, u64::from(me))));
         Known { info, lag: BASE, pace, size: 1.0, answered: never, struck: never, ..Known::default() }
     }
 
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -62,7 +62,7 @@
 
 /// How much answers tell about where the content came from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Notes {
+pub enum NoteDetail {
     /// Hits, fills and why a fill failed.
     #[default]
     All,
@@ -92,7 +92,7 @@
     /// Answered as a stream.
     pub streaming: bool,
     /// How long a copy is fresh (seconds); 0: until purged.
-    pub fresh: f64,
+    pub fresh_for: f64,
     /// Grace: how much older than fresh a copy may be when asked for (seconds).
     pub grace: f64,
     /// What a copy past its fresh time earns, as a share of the worth.
@@ -100,14 +100,14 @@
     /// Objects come in parts asked for in turn.
     pub multi_part: bool,
     /// Runs at the origin and leaves no copy.
-    pub never_kept: bool,
+    pub uncacheable: bool,
 }
 
 /// What a director is given at start.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Settings {
     /// This director's number.
-    pub me: u16,
+    pub director_number: u16,
     /// How many directors the tier has.
     pub directors: u16,
     /// Zone of this director.
@@ -117,9 +117,9 @@
     /// Hub of each zone.
     pub hub_of_zone: Vec<ZoneId>,
     /// Link in of each zone, KB a second; 0 where not told.
-    pub zone_link: Vec<f64>,
+    pub zone_link_kb_per_s: Vec<f64>,
     /// Top pace of one answer, KB a second; 0 where not told.
-    pub flow: f64,
+    pub answer_kb_per_s: f64,
     /// The request classes.
     pub classes: Vec<Class>,
     /// Machine kind of parents, if there are any.
@@ -127,51 +127,51 @@
     /// Machine kind of the origin.
     pub origin_kind: u16,
     /// Which edge caches may be the source of a fill.
-    pub sources: SiblingScope,
+    pub sibling_sources: SiblingScope,
     /// What answers tell.
-    pub notes: Notes,
+    pub note_detail: NoteDetail,
     /// Parents and the origin take attempts too.
-    pub direct: bool,
+    pub direct_attempts: bool,
     /// A request may join a fill under way.
-    pub joins: bool,
+    pub join_fills: bool,
     /// Withdrawing attempts is allowed.
     pub cancel: bool,
     /// Two attempts of one request may be out at a time.
-    pub duplicate: bool,
+    pub concurrent_attempts: bool,
     /// Probing is allowed.
     pub probes: bool,
     /// Messages to peers are allowed.
     pub messages: bool,
     /// Most attempts for one request.
-    pub most_tries: u16,
+    pub max_attempts: u16,
     /// Longest wait a client will follow (seconds).
-    pub max_wait: f64,
+    pub max_retry_after: f64,
     /// Node weights tell the size of its link in full-pace transfers.
-    pub weights_told: bool,
+    pub weights_are_link_sizes: bool,
     /// The list must be asked for.
     pub list_on_request: bool,
     /// Ask at least this often where the list must be asked for (seconds).
-    pub ask_every: f64,
+    pub list_poll_interval: f64,
     /// A node starts with at least this share of its capacity.
-    pub cold_from: f64,
+    pub cold_start_share: f64,
     /// And is warm within this time (seconds).
-    pub cold_for: f64,
+    pub warm_up_time: f64,
     /// Sent more than this multiple of its present capacity a cold node falls over.
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// In this window (seconds).
-    pub fall_window: f64,
+    pub overload_window: f64,
     /// The same for parents: share of capacity at start.
-    pub parent_cold_from: f64,
+    pub parent_cold_start_share: f64,
     /// Parents are warm within this time (seconds).
-    pub parent_cold_for: f64,
+    pub parent_warm_up_time: f64,
     /// Parents fall over at this multiple.
-    pub parent_fall_multiple: f64,
+    pub parent_overload_multiple: f64,
     /// The origin stops for a while at this multiple of what it can do (0: never).
-    pub origin_fall_multiple: f64,
+    pub origin_overload_multiple: f64,
     /// When asked for it this long (seconds).
-    pub origin_fall_window: f64,
+    pub origin_overload_window: f64,
     /// Caches drop purged copies by themselves within this time (seconds).
-    pub purge_settles: f64,
+    pub purge_settle_time: f64,
     /// Time to heed a purge (seconds).
     pub purge_slack: f64,
     /// A final answer counts until this long after the deadline (seconds).
@@ -182,12 +182,12 @@
 
 impl Settings {
     /// Sending time at full pace of so many KB, where sizes are told (seconds).
-    pub fn sending(&self, kb: f64) -> Option<f64> {
-        (kb > 0.0 && self.flow > 0.0).then(|| kb / self.flow)
+    pub fn transfer_time(&self, kb: f64) -> Option<f64> {
+        (kb > 0.0 && self.answer_kb_per_s > 0.0).then(|| kb / self.answer_kb_per_s)
     }
 
     /// How many directors share the edge caches of this one's zone.
-    pub fn sharers(&self) -> f64 {
+    pub fn own_zone_directors(&self) -> f64 {
         let here = self.directors_by_zone.get(usize::from(self.own_zone.0));
         f64::from(here.copied().unwrap_or(1).max(1))
     }
@@ -202,7 +202,7 @@
     /// Completes pending work only.
     Draining,
     /// Withdrawn.
-    Gone,
+    Withdrawn,
 }
 
 /// An entry of the list.
@@ -280,7 +280,7 @@
     /// Withdrawn.
     Cancelled,
     /// Never sent.
-    Moot,
+    NotSent,
     /// Nothing suitable held.
     Miss,
 }
@@ -288,7 +288,7 @@
 impl Outcome {
     /// Does it prove that nothing ran?
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot | Outcome::Miss)
+        matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::NotSent | Outcome::Miss)
     }
 }
 
@@ -307,15 +307,15 @@
     /// Joined a fill under way.
     Joined,
     /// A copy past its fresh time.
-    Old,
+    Stale,
     /// The source said no.
     SourceRefused,
     /// The source was not reached, broke off or was too slow.
     SourceFailed,
     /// The source has none.
-    SourceLacks,
+    SourceMiss,
     /// No place for a fill at the edge cache.
-    NoFillPlace,
+    NoFillSlot,
     /// The origin failed behind the parent.
     OriginFailed,
 }
@@ -367,12 +367,12 @@
         request: RequestId,
     },
     /// A timer fired.
-    Alarm {
+    TimerFired {
         /// The number given when it was set.
         token: u64,
     },
     /// A probe ended.
-    Probed {
+    ProbeEnd {
         /// The node.
         node: NodeId,
         /// How it ended.
@@ -406,11 +406,11 @@
     /// Wait for a fill that runs already.
     pub join: bool,
     /// The source gives only what it holds.
-    pub held_only: bool,
+    pub only_if_cached: bool,
     /// The parent keeps no copy.
     pub no_parent_copy: bool,
     /// Serve an ageing copy and renew it behind.
-    pub renew: bool,
+    pub revalidate: bool,
 }
 
 /// What the director wants done.
@@ -452,8 +452,8 @@
         /// Which attempt.
         attempt: u16,
     },
-    /// Ask for an [`Event::Alarm`].
-    Alarm {
+    /// Ask for an [`Event::TimerFired`].
+    SetTimer {
         /// Given back.
         token: u64,
         /// Seconds from now.
@@ -465,7 +465,7 @@
         node: NodeId,
     },
     /// Send a message.
-    Tell {
+    SendMessage {
         /// To whom; none: to every peer.
         to: Option<PeerId>,
         /// Its content, 256 bytes at most.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -11,7 +11,7 @@
 //! use onyxyoke::interface::*;
 //! use onyxyoke::Director;
 //!
-//! let mut settings = Settings { origin_kind: 2, most_tries: 4, ..Settings::default() };
+//! let mut settings = Settings { origin_kind: 2, max_attempts: 4, ..Settings::default() };
 //! settings.classes.push(Class { aim: 0.5, deadline: 3.0, ..Class::default() });
 //! let edge = Node { id: NodeId(7), ..Node::default() };
 //! let origin = Node { id: NodeId(1), kind: 2, ..Node::default() };
@@ -25,10 +25,10 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod brain;
 pub mod broker;
 pub mod clock;
 pub mod config;
+mod director;
 pub mod interface;
 pub mod log;
 pub mod membership;
@@ -45,7 +45,7 @@
 pub mod watch;
 pub mod xds;
 
-pub use brain::Director;
+pub use director::Director;
 
 /// The README's example, compiled with the tests.
 #[cfg(doctest)]
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -57,7 +57,7 @@
         }
         for node in nodes {
             match node.state {
-                NodeState::Gone => self.listed.remove(&node.id),
+                NodeState::Withdrawn => self.listed.remove(&node.id),
                 _ => self.listed.insert(node.id, *node),
             };
         }
@@ -103,13 +103,18 @@
     /// Returns the memory of its tables (bytes).
     pub fn footprint(&self) -> usize {
         let entry = size_of::<(NodeId, Node)>() + size_of::<(NodeId, f64)>() + 1;
-        (self.listed.capacity() + self.uncordoned.capacity()) * entry + self.cordoned.len() * 3 * size_of::<NodeId>()
+        (self.listed.capacity() + self.uncordoned.capacity()) * entry
+            + self.cordoned.len() * 3 * size_of::<NodeId>()
     }
 
     /// Applies a cordon or uncordon. Returns the message for the operator, and the node as the director is to
     /// see it if that changed. Refuses a node that is neither listed nor cordoned, and a cordon beyond
     /// [`MAX_CORDONS`].
-    pub fn apply_override(&mut self, now: f64, action: OperatorOverride) -> Result<(String, Option<Node>), String> {
+    pub fn apply_override(
+        &mut self,
+        now: f64,
+        action: OperatorOverride,
+    ) -> Result<(String, Option<Node>), String> {
         let (id, cordon) = match action {
             OperatorOverride::Cordon(id) => (id, true),
             OperatorOverride::Uncordon(id) => (id, false),
--- a/src/membership/model.rs
+++ b/src/membership/model.rs
@@ -32,7 +32,7 @@
 }
 
 fn node(id: u8, state: u8) -> Node {
-    let state = [NodeState::Ready, NodeState::Draining, NodeState::Gone][usize::from(state)];
+    let state = [NodeState::Ready, NodeState::Draining, NodeState::Withdrawn][usize::from(state)];
     Node { id: NodeId(id.into()), state, ..Node::default() }
 }
 
@@ -44,7 +44,8 @@
         .run(&vec(step(), 1..40), |steps| {
             let mut view = Membership::default();
             // The model: each node's state on the list, the cordons, and the time of each uncordon.
-            let (mut listed, mut cordoned, mut uncordoned) = (BTreeMap::new(), BTreeSet::new(), BTreeMap::new());
+            let (mut listed, mut cordoned, mut uncordoned) =
+                (BTreeMap::new(), BTreeSet::new(), BTreeMap::new());
             for (i, step) in steps.into_iter().enumerate() {
                 let now = 1000.0 + i as f64;
                 match step {
@@ -55,7 +56,7 @@
                         }
                         for n in &nodes {
                             match n.state {
-                                NodeState::Gone => listed.remove(&n.id),
+                                NodeState::Withdrawn => listed.remove(&n.id),
                                 state => listed.insert(n.id, state),
                             };
                         }
@@ -71,8 +72,11 @@
                     Step::Cordon(id) | Step::Uncordon(id) => {
                         let (id, cordon) = (NodeId(id.into()), matches!(step, Step::Cordon(_)));
                         let known = listed.contains_key(&id) || cordoned.contains(&id);
-                        let action =
-                            if cordon { OperatorOverride::Cordon(id) } else { OperatorOverride::Uncordon(id) };
+                        let action = if cordon {
+                            OperatorOverride::Cordon(id)
+                        } else {
+                            OperatorOverride::Uncordon(id)
+                        };
                         let result = view.apply_override(now, action);
                         prop_assert_eq!(result.is_ok(), known, "unknown ids are refused");
                         if known {
@@ -106,7 +110,11 @@
                     prop_assert_eq!(actual, Some(expected), "node {}", id.0);
                 }
                 for n in view.nodes() {
-                    prop_assert!(uncordoned.get(&n.id).is_none_or(|&at| (n.ready_at - at).abs() < 0.01), "{:?}", n);
+                    prop_assert!(
+                        uncordoned.get(&n.id).is_none_or(|&at| (n.ready_at - at).abs() < 0.01),
+                        "{:?}",
+                        n
+                    );
                 }
                 prop_assert_eq!(view.len(), listed.len());
             }
@@ -117,7 +125,8 @@
 
 #[test]
 fn invalid_lines_are_reported_and_the_others_applied() {
-    let (saved, errors) = SavedOverrides::parse("cordon s-0000000a\n\nwoke s-0000000b 1764576000.5\ndrain s-0000000c\n");
+    let (saved, errors) =
+        SavedOverrides::parse("cordon s-0000000a\n\nwoke s-0000000b 1764576000.5\ndrain s-0000000c\n");
     assert_eq!(saved.cordoned, [NodeId(10)]);
     assert_eq!(saved.uncordoned, [(NodeId(11), 1_764_576_000.5)]);
     assert_eq!(errors, ["line 4: 'drain s-0000000c' is neither 'cordon ID' nor 'woke ID UNIX'"]);
@@ -129,7 +138,10 @@
     let nodes: Vec<Node> =
         (0..=MAX_CORDONS as u64).map(|id| Node { id: NodeId(id), ..Node::default() }).collect();
     view.apply_list(true, &nodes);
-    assert_eq!(view.apply_override(1.0, OperatorOverride::Cordon(NodeId(1))).unwrap().0, "s-00000001 cordoned");
+    assert_eq!(
+        view.apply_override(1.0, OperatorOverride::Cordon(NodeId(1))).unwrap().0,
+        "s-00000001 cordoned"
+    );
     assert_eq!(
         view.apply_override(2.0, OperatorOverride::Cordon(NodeId(1))).unwrap().0,
         "s-00000001 was cordoned already"
@@ -137,7 +149,11 @@
     let (message, node) = view.apply_override(3.0, OperatorOverride::Uncordon(NodeId(1))).unwrap();
     assert_eq!(message, "s-00000001 uncordoned; it starts cold");
     assert_eq!(node.map(|n| (n.state, n.ready_at)), Some((NodeState::Ready, 3.0)));
-    assert!(view.apply_override(4.0, OperatorOverride::Cordon(NodeId(99_999))).unwrap_err().contains("on no list"));
+    assert!(
+        view.apply_override(4.0, OperatorOverride::Cordon(NodeId(99_999)))
+            .unwrap_err()
+            .contains("on no list")
+    );
     for id in 0..MAX_CORDONS as u64 {
         view.apply_override(5.0, OperatorOverride::Cordon(NodeId(id))).unwrap();
     }
--- a/src/routing/beliefs.rs
+++ b/src/routing/beliefs.rs
@@ -105,7 +105,7 @@
     }
 
     /// Calls with every believed holder and when it was seen, the longest ago first.
-    pub fn each(&self, object: ObjectId, part: u32, mut call: impl FnMut(NodeId, f64)) {
+    pub fn for_each_holder(&self, object: ObjectId, part: u32, mut call: impl FnMut(NodeId, f64)) {
         let hash = self.hash(object, part);
         for g in &self.generations {
             for slot in g.run(hash).map(|i| &g.slots[i]).take_while(|s| s.at != EMPTY) {
@@ -219,7 +219,7 @@
 
     /// The answer to that: they may take so much from now on. Where they take more, the oldest are forgotten, and of
     /// the newest what was seen longest ago; one small table is left in any case.
-    pub fn hold_to(&mut self, bytes: usize) {
+    pub fn set_memory_limit(&mut self, bytes: usize) {
         (self.allowed, self.wanted) = (bytes, 0);
         for i in 0..GENERATIONS - 1 {
             if self.footprint() <= bytes {
@@ -270,7 +270,9 @@
 
     fn held(b: &Beliefs, object: u64, part: u32) -> BTreeMap<u64, f64> {
         let mut all = BTreeMap::new();
-        b.each(ObjectId(object), part, |node, at| assert!(all.insert(node.0, at).is_none(), "a node twice"));
+        b.for_each_holder(ObjectId(object), part, |node, at| {
+            assert!(all.insert(node.0, at).is_none(), "a node twice")
+        });
         all
     }
 
@@ -296,7 +298,9 @@
                         b.disbelieve(ObjectId(object), part, NodeId(node));
                         model.remove(&(object, part, node));
                     }
-                    6 if tight => b.hold_to(Generation::bytes(LEAST * (1 + usize::from(tenths) / 8))),
+                    6 if tight => {
+                        b.set_memory_limit(Generation::bytes(LEAST * (1 + usize::from(tenths) / 8)))
+                    }
                     _ => now += f64::from(tenths) / 4.0,
                 }
                 let here = held(&b, object, part);
@@ -320,14 +324,14 @@
     fn tables_stay_within_what_they_are_allowed_and_ask_for_more() {
         let mut b = Beliefs::new(7, AGE);
         let bytes = GENERATIONS * Generation::bytes(LEAST);
-        b.hold_to(bytes);
+        b.set_memory_limit(bytes);
         for i in 0..10_000u64 {
             b.believe(1000.0 + i as f64 / 10_000.0, ObjectId(i), 0, NodeId(1), 1000.0);
             assert!(b.footprint() <= bytes, "{i}");
         }
         assert!(held(&b, 9_999, 0).len() == 1 && held(&b, 1, 0).is_empty(), "the newest are kept");
         assert!(b.wanted() > bytes, "it would grow if it might");
-        b.hold_to(usize::MAX);
+        b.set_memory_limit(usize::MAX);
         for i in 0..300_000u64 {
             b.believe(1001.0, ObjectId(i), 0, NodeId(1), 1000.0);
         }
@@ -335,7 +339,7 @@
         assert!(b.len() > 70_000, "{}", b.len());
         // Cut down, what is left is what was seen last.
         b.believe(1002.0, ObjectId(5), 5, NodeId(5), 1002.0);
-        b.hold_to(Generation::bytes(LEAST));
+        b.set_memory_limit(Generation::bytes(LEAST));
         assert_eq!((b.footprint(), held(&b, 5, 5).len()), (Generation::bytes(LEAST), 1));
     }
 }
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -6,7 +6,7 @@
 mod worker;
 
 use crate::log;
-use crate::membership::{SavedOverrides, OperatorOverride};
+use crate::membership::{OperatorOverride, SavedOverrides};
 use std::cell::RefCell;
 use std::io;
 use std::net::SocketAddr;
--- a/src/state/tests.rs
+++ b/src/state/tests.rs
@@ -21,7 +21,10 @@
     new.apply_override(OperatorOverride::Cordon(NodeId(9)), 5.0).unwrap();
     assert_eq!(old.read_if_changed().map(|k| k.cordoned), Some(vec![NodeId(9)]));
     new.apply_override(OperatorOverride::Uncordon(NodeId(9)), 6.0).unwrap();
-    assert_eq!(old.read_if_changed(), Some(SavedOverrides { cordoned: vec![], uncordoned: vec![(NodeId(9), 6.0)] }));
+    assert_eq!(
+        old.read_if_changed(),
+        Some(SavedOverrides { cordoned: vec![], uncordoned: vec![(NodeId(9), 6.0)] })
+    );
     let (other, _) = StateStore::open(folder.clone(), "n1/x", &at);
     assert_eq!(other.read_if_changed(), None, "another front has its own file");
     let elsewhere = StateStore::open(folder.clone(), "n0", &["127.0.0.1:4101".parse().unwrap()]);
@@ -31,6 +34,9 @@
     assert!(!elsewhere.0.succession().has_successor());
     assert!(old.succession().has_successor(), "another process of the same front");
     let same_sanitized_name = StateStore::open(folder.clone(), "n1_x", &at);
-    assert!(same_sanitized_name.0.path != other.path, "a name that is sanitized to the same text has its own file");
+    assert!(
+        same_sanitized_name.0.path != other.path,
+        "a name that is sanitized to the same text has its own file"
+    );
     std::fs::remove_dir_all(folder).unwrap();
 }
--- a/src/state/worker.rs
+++ b/src/state/worker.rs
@@ -2,7 +2,7 @@
 //! slow disk must not block the thread that serves clients.
 
 use super::StateStore;
-use crate::membership::{SavedOverrides, OperatorOverride};
+use crate::membership::{OperatorOverride, SavedOverrides};
 use std::io;
 use tokio::sync::mpsc::{Receiver, Sender, channel};
 use tokio::sync::oneshot;
@@ -80,7 +80,9 @@
         // The sender may have stopped waiting; the request is carried out anyway.
         match request {
             Request::ReadIfChanged { reply } => drop(reply.send(self.store.read_if_changed())),
-            Request::ApplyOverride { action, now, reply } => drop(reply.send(self.store.apply_override(action, now))),
+            Request::ApplyOverride { action, now, reply } => {
+                drop(reply.send(self.store.apply_override(action, now)))
+            }
             Request::Write { number, saved, reply } => drop(reply.send(self.write(number, &saved))),
         }
     }
