--- a/src/broker/admission.rs
+++ b/src/broker/admission.rs
@@ -117,7 +117,7 @@
     /// Returns the time in which the class aims to answer the request, given its size if stated (seconds).
     pub(super) fn aim(&self, request: &ClientRequest) -> f64 {
         let s = self.director.settings();
-        let sending = s.sending(request.size_kb).unwrap_or(0.0);
+        let sending = s.transfer_time(request.size_kb).unwrap_or(0.0);
         s.classes.get(usize::from(request.class.0)).map_or(f64::MAX, |c| c.aim + c.aim_stretch * sending)
     }
 
--- a/src/broker/messages.rs
+++ b/src/broker/messages.rs
@@ -86,8 +86,8 @@
 }
 
 impl ClientRequest {
-    /// Reserves memory for the request and for a body of `body` bytes. A `may_use_reserve` request may use the
-    /// reserve.
+    /// Reserves memory for the request and for a body of `body` bytes. A `may_use_reserve` request may use
+    /// the reserve.
     pub fn reserve_memory(
         &mut self,
         memory: &Ledger,
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -124,7 +124,7 @@
             return Err(format!("{name} is on no list here"));
         }
         if cordon && !self.cordoned.contains(&id) && self.cordoned.len() >= MAX_CORDONS {
-            return Err(format!("{CORDONS} nodes are cordoned already; uncordon one first"));
+            return Err(format!("{MAX_CORDONS} nodes are cordoned already; uncordon one first"));
         }
         let changed = self.set_cordon(now, id, cordon);
         let message = match (cordon, changed) {
