--- a/src/broker/admission.rs
+++ b/src/broker/admission.rs
@@ -116,9 +116,12 @@
 
     /// Returns the time in which the class aims to answer the request, given its size if stated (seconds).
     pub(super) fn aim(&self, request: &ClientRequest) -> f64 {
-        let s = self.director.settings();
-        let sending = s.transfer_time(request.size_kb).unwrap_or(0.0);
-        s.classes.get(usize::from(request.class.0)).map_or(f64::MAX, |c| c.aim + c.aim_stretch * sending)
+        let settings = self.director.settings();
+        let transfer_time = settings.transfer_time(request.size_kb).unwrap_or(0.0);
+        settings
+            .classes
+            .get(usize::from(request.class.0))
+            .map_or(f64::MAX, |c| c.aim + c.aim_stretch * transfer_time)
     }
 
     /// Returns an id that no open request has.
--- a/src/broker/attempts.rs
+++ b/src/broker/attempts.rs
@@ -96,9 +96,9 @@
             let until = o.request.deadline.min(shutdown_deadline).min(retry_until(rules, &o.attempts));
             !o.concluded && !o.request.cancelled.get() && now < until
         });
-        if may_retry && let Some(a) = self.attempt(attempt_id).filter(|a| a.in_flight) {
-            a.abandoned_as = Some(outcome);
-            let timer = timers::Timer::Propagated(attempt_id.request, attempt_id.attempt);
+        if may_retry && let Some(attempt) = self.attempt(attempt_id).filter(|a| a.in_flight) {
+            attempt.abandoned_as = Some(outcome);
+            let timer = timers::Timer::Abandoned(attempt_id.request, attempt_id.attempt);
             return self.timers.set(now + propagation, timer);
         }
         self.handle_attempt_end(now, attempt_id, outcome, Note::None, 0.0, None);
@@ -120,8 +120,8 @@
             }
             _ => Answer::Failed,
         };
-        if let Some(a) = self.attempt(attempt_id) {
-            a.cancel();
+        if let Some(attempt) = self.attempt(attempt_id) {
+            attempt.cancel();
         }
         self.answer(now, attempt_id.request, answer);
         self.handle_attempt_end(now, attempt_id, Outcome::NotSent, Note::None, 0.0, None);
@@ -142,14 +142,14 @@
         source_wait: f64,
         content: Option<Content>,
     ) {
-        let Some(a) = self.attempt(attempt_id).filter(|a| a.in_flight) else { return };
-        a.in_flight = false;
-        a.never_ran = outcome.never_ran();
+        let Some(attempt) = self.attempt(attempt_id).filter(|a| a.in_flight) else { return };
+        attempt.in_flight = false;
+        attempt.never_ran = outcome.never_ran();
         let outcome = match outcome {
-            Outcome::Cancelled if a.timed_out => Outcome::TimedOut,
+            Outcome::Cancelled if attempt.timed_out => Outcome::TimedOut,
             other => other,
         };
-        let (node, took) = (a.node, (now - a.sent_at).max(0.0));
+        let (node, took) = (attempt.node, (now - attempt.sent_at).max(0.0));
         self.counters.count_attempt_end(outcome, note);
         if self.open.get(&attempt_id.request).is_some_and(|o| o.request.cancelled.get()) {
             self.cancel_request(now, attempt_id.request);
@@ -172,7 +172,7 @@
                 load: Vec::new(),
             },
         );
-        self.forget_if_finished(attempt_id.request);
+        self.remove_if_finished(attempt_id.request);
     }
 
     /// Ends an abandoned attempt, whose propagation time is over or need not be waited for.
@@ -268,10 +268,10 @@
 /// first byte.
 fn retry_until(rules: Option<&crate::interface::Class>, attempts: &[Attempt]) -> f64 {
     use crate::interface::Effect;
-    let ran = attempts.iter().filter(|a| !a.never_ran);
+    let may_have_run = attempts.iter().filter(|a| !a.never_ran);
     match rules.map(|c| (c.effect, c.key_ttl)) {
-        Some((Effect::Keyed(_), ttl)) => ran.map(|a| a.sent_at + ttl).fold(f64::INFINITY, f64::min),
-        Some((Effect::Unsafe, _)) if ran.count() > 0 => f64::NEG_INFINITY,
+        Some((Effect::Keyed(_), ttl)) => may_have_run.map(|a| a.sent_at + ttl).fold(f64::INFINITY, f64::min),
+        Some((Effect::Unsafe, _)) if may_have_run.count() > 0 => f64::NEG_INFINITY,
         _ => f64::INFINITY,
     }
 }
--- a/src/broker/messages.rs
+++ b/src/broker/messages.rs
@@ -86,8 +86,8 @@
 }
 
 impl ClientRequest {
-    /// Reserves memory for the request and for a body of `body` bytes. A `may_use_reserve` request may use
-    /// the reserve.
+    /// Reserves memory for the request and for a body of `body` bytes, from the reserve too if
+    /// `may_use_reserve` is set.
     pub fn reserve_memory(
         &mut self,
         memory: &Ledger,
@@ -124,7 +124,7 @@
 }
 
 impl Answer {
-    /// The counter that the answer is counted under.
+    /// Returns the counter that the answer is counted under.
     pub fn count(&self) -> Count {
         match self {
             Answer::Served(_) => Count::Success,
--- a/src/broker/metrics.rs
+++ b/src/broker/metrics.rs
@@ -95,14 +95,14 @@
                 let _ = writeln!(text, "{name}{{tier=\"{}\"}} {}", escape(class), cells[i].get());
             }
         }
-        let g = self.gauges.get();
+        let values = self.gauges.get();
         let gauges = [
-            ("front_inflight", "Requests taken and not ended.", g.inflight),
-            ("front_hosts_listed", "Cache nodes on the list.", g.hosts_listed),
+            ("front_inflight", "Requests taken and not ended.", values.inflight),
+            ("front_hosts_listed", "Cache nodes on the list.", values.hosts_listed),
             (
                 "front_hosts_down",
                 "Cache nodes on the list that are avoided: draining, cordoned or blamed.",
-                g.hosts_down,
+                values.hosts_down,
             ),
         ];
         for (name, help, value) in gauges {
--- a/src/broker/mod.rs
+++ b/src/broker/mod.rs
@@ -219,8 +219,8 @@
     /// Returns the overrides to save for a successor: cordons, and nodes uncordoned so recently that they may
     /// be cold.
     pub fn saved_overrides(&self, now: f64) -> SavedOverrides {
-        let s = self.director.settings();
-        self.members.saved_overrides(now, s.warm_up_time.max(s.parent_warm_up_time))
+        let settings = self.director.settings();
+        self.members.saved_overrides(now, settings.warm_up_time.max(settings.parent_warm_up_time))
     }
 
     /// Hands the director the nodes whose view changed, and cancels unwritten attempts to those no longer
@@ -239,7 +239,7 @@
         let Some(&id) = self.callers.get(&caller) else { return };
         self.cancel_request(now, id);
         self.dispatch(now, Event::Expired { request: id });
-        self.forget_if_finished(id);
+        self.remove_if_finished(id);
         self.drain_events(now);
     }
 
@@ -257,11 +257,11 @@
     /// Marks a request as concluded, cancels its attempt in flight, and removes it if there is none.
     fn conclude(&mut self, id: RequestId) {
         self.cancel_attempts(id);
-        self.forget_if_finished(id);
+        self.remove_if_finished(id);
     }
 
     /// Removes a concluded request once none of its attempts is in flight.
-    fn forget_if_finished(&mut self, id: RequestId) {
+    fn remove_if_finished(&mut self, id: RequestId) {
         if self.open.get(&id).is_some_and(|o| o.concluded && o.attempts.iter().all(|a| !a.in_flight))
             && let Some(open) = self.open.remove(&id)
         {
@@ -290,9 +290,9 @@
         match report {
             Report::WriteStarted(attempt_id) => {
                 if let Some(open) = self.open.get_mut(&attempt_id.request)
-                    && let Some(a) = open.attempts.get_mut(usize::from(attempt_id.attempt))
+                    && let Some(attempt) = open.attempts.get_mut(usize::from(attempt_id.attempt))
                 {
-                    a.write_started = true;
+                    attempt.write_started = true;
                     self.counters.written += 1;
                     self.metrics.count(open.request.class, Count::BackendCall);
                 }
@@ -315,9 +315,9 @@
     pub fn fire_timers(&mut self, now: f64) {
         while let Some(timer) = self.timers.due(now) {
             match timer {
-                timers::Timer::Alarm(token) => self.dispatch(now, Event::TimerFired { token }),
+                timers::Timer::Director(token) => self.dispatch(now, Event::TimerFired { token }),
                 timers::Timer::Deadline(id) => self.handle_deadline(now, id),
-                timers::Timer::Propagated(request, attempt) => {
+                timers::Timer::Abandoned(request, attempt) => {
                     self.finish_abandoned(now, AttemptId { request, attempt })
                 }
             }
@@ -370,7 +370,7 @@
         while let Some(event) = self.pending_events.pop_front() {
             if let Event::AttemptEnd { request, .. } = event {
                 self.dispatch(now, event);
-                self.forget_if_finished(request);
+                self.remove_if_finished(request);
             } else {
                 self.dispatch(now, event);
             }
@@ -389,12 +389,12 @@
             Action::Fail { request } => self.answer(now, request, Answer::Failed),
             Action::Cancel { request, attempt } => {
                 let attempt_id = AttemptId { request, attempt };
-                if let Some(a) = self.attempt(attempt_id).filter(|a| a.in_flight && a.cancel()) {
-                    let node = a.node;
+                if let Some(attempt) = self.attempt(attempt_id).filter(|a| a.in_flight && a.cancel()) {
+                    let node = attempt.node;
                     self.effects.push(Effect::Command(Command::Cancel { attempt_id, node }));
                 }
             }
-            Action::SetTimer { token, after } => self.timers.set(now + after, timers::Timer::Alarm(token)),
+            Action::SetTimer { token, after } => self.timers.set(now + after, timers::Timer::Director(token)),
             // The platform pushes its list, and this front neither probes nodes nor sends messages to other
             // directors.
             Action::Probe { .. } | Action::SendMessage { .. } | Action::Watch { .. } | Action::ReadList => {}
--- a/src/broker/model.rs
+++ b/src/broker/model.rs
@@ -230,8 +230,8 @@
 fn run_steps(steps: Vec<Step>) -> Result<(), TestCaseError> {
     let mut broker = broker(Contracts::default());
     let states = vec![NodeState::Ready; NODES as usize];
-    let mut w = World { now: 1000.0, states, ..World::default() };
-    w.check_effects(&mut broker)?;
+    let mut world = World { now: 1000.0, states, ..World::default() };
+    world.check_effects(&mut broker)?;
     let mut next = 0;
     for step in steps {
         let pick = |which: u8, keys: Vec<(u32, u16)>| {
@@ -240,7 +240,7 @@
         match step {
             Step::Request { class, object, tenths } => {
                 next += 1;
-                let deadline = w.now + f64::from(tenths) / 10.0;
+                let deadline = world.now + f64::from(tenths) / 10.0;
                 let call = next.to_string().into();
                 let (class, object) = (ClassId(class.into()), ObjectId(object.into()));
                 let request = ClientRequest {
@@ -251,81 +251,81 @@
                     call,
                     ..ClientRequest::default()
                 };
-                w.unanswered.insert(next, (deadline, class.0));
-                broker.handle_request(w.now, Caller { connection: 1, tag: next }, request);
+                world.unanswered.insert(next, (deadline, class.0));
+                broker.handle_request(world.now, Caller { connection: 1, tag: next }, request);
             }
             Step::Abort(which) => {
-                let unanswered: Vec<u64> = w.unanswered.keys().copied().collect();
+                let unanswered: Vec<u64> = world.unanswered.keys().copied().collect();
                 if !unanswered.is_empty() {
                     let tag = unanswered[usize::from(which) % unanswered.len()];
-                    w.unanswered.remove(&tag);
-                    broker.abort(w.now, Caller { connection: 1, tag });
+                    world.unanswered.remove(&tag);
+                    broker.abort(world.now, Caller { connection: 1, tag });
                 }
             }
             Step::Written(which) => {
-                let waiting = w.in_flight.iter().filter(|o| !o.1.written).map(|o| *o.0).collect();
+                let waiting = world.in_flight.iter().filter(|o| !o.1.written).map(|o| *o.0).collect();
                 if let Some(key) = pick(which, waiting) {
-                    let out = w.in_flight.get_mut(&key).unwrap();
+                    let out = world.in_flight.get_mut(&key).unwrap();
                     out.written = true;
-                    broker.handle_report(w.now, Report::WriteStarted(out.order.attempt_id));
+                    broker.handle_report(world.now, Report::WriteStarted(out.order.attempt_id));
                 }
             }
             Step::End { which, how } => {
-                if let Some(key) = pick(which, w.in_flight.keys().copied().collect()) {
+                if let Some(key) = pick(which, world.in_flight.keys().copied().collect()) {
                     let outcome = OUTCOMES[usize::from(how) % OUTCOMES.len()];
-                    w.end(&mut broker, key, outcome, outcome == Outcome::Reset && how > 127);
+                    world.end(&mut broker, key, outcome, outcome == Outcome::Reset && how > 127);
                 }
             }
             Step::Node { id, state } => {
                 let id = u64::from(id) % NODES;
                 let state =
                     [NodeState::Ready, NodeState::Draining, NodeState::Withdrawn][usize::from(state) % 3];
-                w.states[id as usize] = state;
-                let before: Vec<_> = w.in_flight.iter().filter(|o| !o.1.written).map(|o| *o.0).collect();
+                world.states[id as usize] = state;
+                let before: Vec<_> = world.in_flight.iter().filter(|o| !o.1.written).map(|o| *o.0).collect();
                 broker.apply_update(
-                    w.now,
+                    world.now,
                     DiscoveryUpdate::NodeList { full: false, members: vec![member(id, state)] },
                     false,
                 );
-                w.check_effects(&mut broker)?;
+                world.check_effects(&mut broker)?;
                 // An unwritten attempt must not be sent to a draining node, nor name it as a source.
-                for out in before.iter().filter_map(|k| w.in_flight.get(k)) {
+                for out in before.iter().filter_map(|k| world.in_flight.get(k)) {
                     let affected = out.order.node.0 == id || out.order.source == Some(NodeId(id));
                     prop_assert!(!affected || state == NodeState::Ready, "still waiting for {:?}", id);
                 }
             }
             Step::Purge { object, group } => {
                 let object = (!group).then_some(ObjectId(object.into()));
-                let before: Vec<_> = w.in_flight.iter().filter(|o| !o.1.written).map(|o| *o.0).collect();
+                let before: Vec<_> = world.in_flight.iter().filter(|o| !o.1.written).map(|o| *o.0).collect();
                 broker.apply_update(
-                    w.now,
-                    DiscoveryUpdate::Purge { object, group: GroupId(3), at: w.now },
+                    world.now,
+                    DiscoveryUpdate::Purge { object, group: GroupId(3), at: world.now },
                     false,
                 );
-                w.check_effects(&mut broker)?;
-                for out in before.iter().filter_map(|k| w.in_flight.get(k)) {
+                world.check_effects(&mut broker)?;
+                for out in before.iter().filter_map(|k| world.in_flight.get(k)) {
                     let affected = object.is_none_or(|o| o == out.order.request.object);
                     prop_assert!(!affected, "still waiting with an age limit from before a purge");
                 }
             }
             Step::AdvanceTime(tenths) => {
-                w.now += f64::from(tenths) / 10.0;
-                broker.fire_timers(w.now);
+                world.now += f64::from(tenths) / 10.0;
+                broker.fire_timers(world.now);
             }
         }
-        w.check_effects(&mut broker)?;
-        let late: Vec<_> = w.unanswered.iter().filter(|o| o.1.0 < w.now - 2e-6).collect();
+        world.check_effects(&mut broker)?;
+        let late: Vec<_> = world.unanswered.iter().filter(|o| o.1.0 < world.now - 2e-6).collect();
         if matches!(step, Step::AdvanceTime(_)) {
             prop_assert!(late.is_empty(), "unanswered at the deadline: {:?}", late);
         }
-        prop_assert_eq!(broker.pending(), w.unanswered.len());
+        prop_assert_eq!(broker.pending(), world.unanswered.len());
     }
     for _ in 0..2 {
-        w.now += 10.0;
-        broker.fire_timers(w.now);
-        w.check_effects(&mut broker)?;
+        world.now += 10.0;
+        broker.fire_timers(world.now);
+        world.check_effects(&mut broker)?;
     }
-    prop_assert!(w.unanswered.is_empty() && w.in_flight.is_empty());
+    prop_assert!(world.unanswered.is_empty() && world.in_flight.is_empty());
     prop_assert!(
         broker.open.is_empty() && broker.open_calls.is_empty(),
         "state of finished requests is left"
@@ -356,13 +356,13 @@
 /// A connection that never confirms a cancel does not delay the answer.
 #[test]
 fn unconfirmed_cancel_does_not_delay_the_answer() {
-    let mut b = broker(Contracts::default());
+    let mut broker = broker(Contracts::default());
     let caller = Caller { connection: 1, tag: 1 };
-    b.handle_request(1000.0, caller, request_until(1001.0));
-    b.fire_timers(1001.0);
-    assert!(b.effects().any(|e| matches!(e, Effect::Command(Command::Cancel { .. }))));
-    b.fire_timers(1001.0 + CANCEL_CONFIRM_SECONDS);
-    let answers: Vec<Effect> = b.effects().collect();
+    broker.handle_request(1000.0, caller, request_until(1001.0));
+    broker.fire_timers(1001.0);
+    assert!(broker.effects().any(|e| matches!(e, Effect::Command(Command::Cancel { .. }))));
+    broker.fire_timers(1001.0 + CANCEL_CONFIRM_SECONDS);
+    let answers: Vec<Effect> = broker.effects().collect();
     assert!(matches!(answers[..], [Effect::Answer { answer: Answer::DeadlineExceeded, .. }]), "{answers:?}");
 }
 
@@ -370,19 +370,20 @@
 /// node could execute at the same time, and the request is answered at the deadline without a further delay.
 #[test]
 fn no_attempt_follows_one_abandoned_just_before_the_deadline() {
-    let mut b = broker(Contracts::default());
-    b.handle_request(1000.0, Caller { connection: 1, tag: 1 }, request_until(1001.0));
-    let sent_attempt = |b: &mut Broker| {
-        b.effects()
+    let mut broker = broker(Contracts::default());
+    broker.handle_request(1000.0, Caller { connection: 1, tag: 1 }, request_until(1001.0));
+    let sent_attempt = |broker: &mut Broker| {
+        broker
+            .effects()
             .find_map(|e| if let Effect::Command(Command::Send(o)) = e { Some(o.attempt_id) } else { None })
     };
-    let attempt_id = sent_attempt(&mut b).unwrap();
-    b.handle_report(1000.1, Report::WriteStarted(attempt_id));
+    let attempt_id = sent_attempt(&mut broker).unwrap();
+    broker.handle_report(1000.1, Report::WriteStarted(attempt_id));
     let (outcome, propagation) = (Outcome::Reset, PROPAGATION_SECONDS);
-    b.handle_report(1000.995, Report::Abandoned { attempt_id, outcome, propagation });
-    assert_eq!(sent_attempt(&mut b), None);
-    b.fire_timers(1001.0);
-    let effects: Vec<Effect> = b.effects().collect();
+    broker.handle_report(1000.995, Report::Abandoned { attempt_id, outcome, propagation });
+    assert_eq!(sent_attempt(&mut broker), None);
+    broker.fire_timers(1001.0);
+    let effects: Vec<Effect> = broker.effects().collect();
     assert!(matches!(effects[..], [Effect::Answer { .. }]), "{effects:?}");
 }
 
@@ -396,17 +397,20 @@
         bytes_per_s: 1e6,
         ..Team::default()
     };
-    let mut b = broker(Contracts(vec![team]));
-    let answer = |b: &mut Broker, tag, request| {
-        b.effects().for_each(drop);
-        b.handle_request(1000.0, Caller { connection: 1, tag }, request);
-        b.effects().find_map(|e| if let Effect::Answer { answer, .. } = e { Some(answer) } else { None })
+    let mut broker = broker(Contracts(vec![team]));
+    let answer = |broker: &mut Broker, tag, request| {
+        broker.effects().for_each(drop);
+        broker.handle_request(1000.0, Caller { connection: 1, tag }, request);
+        broker.effects().find_map(|e| if let Effect::Answer { answer, .. } = e { Some(answer) } else { None })
     };
     let ours = || ClientRequest { team: Some(0), ..request_until(1001.0) };
-    assert_eq!(answer(&mut b, 1, request_until(1001.0)), Some(Answer::Forbidden), "no team");
-    assert_eq!(answer(&mut b, 2, ClientRequest { class: ClassId(1), ..ours() }), Some(Answer::Forbidden));
-    assert_eq!(answer(&mut b, 3, ours()), None, "in flight");
-    assert_eq!(answer(&mut b, 4, ours()), Some(Answer::OverBudget(1.0)));
+    assert_eq!(answer(&mut broker, 1, request_until(1001.0)), Some(Answer::Forbidden), "no team");
+    assert_eq!(
+        answer(&mut broker, 2, ClientRequest { class: ClassId(1), ..ours() }),
+        Some(Answer::Forbidden)
+    );
+    assert_eq!(answer(&mut broker, 3, ours()), None, "in flight");
+    assert_eq!(answer(&mut broker, 4, ours()), Some(Answer::OverBudget(1.0)));
 }
 
 /// Runs a broker that knows one edge cache and the origin. The edge answers one request while another of its
@@ -442,15 +446,15 @@
         let attempt_id = send(&mut broker, now, 1000 + n).unwrap();
         hit(&mut broker, now + 0.002, attempt_id);
     }
-    let held = send(&mut broker, START, 1).unwrap();
+    let waiting = send(&mut broker, START, 1).unwrap();
     let other = send(&mut broker, START + 0.001, 2).unwrap();
     hit(&mut broker, START + 0.002, other);
     if reported {
-        broker.handle_report(START + 0.003, Report::AwaitingMemory(held));
+        broker.handle_report(START + 0.003, Report::AwaitingMemory(waiting));
     }
     (1..=100).for_each(|step| broker.fire_timers(START + f64::from(step) * 0.01));
     let meanwhile = broker.effects().collect();
-    broker.handle_report(START + 1.0, Report::NoMemory(held));
+    broker.handle_report(START + 1.0, Report::NoMemory(waiting));
     broker.effects().for_each(drop);
     let sent = (0..LATER_REQUESTS).filter(|n| {
         let now = START + 1.0 + *n as f64 * 0.001;
--- a/src/broker/tenants.rs
+++ b/src/broker/tenants.rs
@@ -32,7 +32,7 @@
 
 impl Contracts {
     /// Returns whether no team is configured, so that nothing is limited.
-    pub fn none(&self) -> bool {
+    pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
@@ -59,13 +59,13 @@
 
     /// Returns whether the team's contract covers the request.
     pub fn covers(&self, request: &ClientRequest) -> bool {
-        if self.none() {
+        if self.is_empty() {
             return true;
         }
         let Some(team) = request.team.and_then(|t| self.0.get(usize::from(t))) else { return false };
         let routed = |p: &str| self.route(p) == request.team.map(|t| (t, request.class));
-        let path = request.path.as_deref().is_none_or(routed);
-        team.classes.contains(&request.class) && path
+        let owns_path = request.path.as_deref().is_none_or(routed);
+        team.classes.contains(&request.class) && owns_path
     }
 }
 
@@ -125,27 +125,27 @@
     /// Charges a request to its team's budget, or returns the retry delay (seconds). Bytes are charged when
     /// they are served, so a team whose byte bucket is negative waits until it has refilled.
     pub fn admit(&mut self, now: f64, team: Option<TeamId>) -> Result<(), f64> {
-        let Some(b) = team.and_then(|t| self.0.get_mut(usize::from(t))) else { return Ok(()) };
-        b.requests.fill(now);
-        b.bytes.fill(now);
-        let wait = b.requests.wait(1.0).max(b.bytes.wait(0.0));
+        let Some(budget) = team.and_then(|t| self.0.get_mut(usize::from(t))) else { return Ok(()) };
+        budget.requests.fill(now);
+        budget.bytes.fill(now);
+        let wait = budget.requests.wait(1.0).max(budget.bytes.wait(0.0));
         if wait > 0.0 {
             return Err(wait);
         }
-        if b.open >= b.max_open {
+        if budget.open >= budget.max_open {
             return Err(IN_FLIGHT_RETRY_SECONDS);
         }
-        b.requests.level -= 1.0;
-        b.open += 1;
+        budget.requests.level -= 1.0;
+        budget.open += 1;
         Ok(())
     }
 
     /// Releases an admitted request that is answered or aborted, and charges the bytes served.
     pub fn release(&mut self, now: f64, team: Option<TeamId>, bytes: usize) {
-        let Some(b) = team.and_then(|t| self.0.get_mut(usize::from(t))) else { return };
-        b.open = b.open.saturating_sub(1);
-        b.bytes.fill(now);
-        b.bytes.level -= bytes as f64;
+        let Some(budget) = team.and_then(|t| self.0.get_mut(usize::from(t))) else { return };
+        budget.open = budget.open.saturating_sub(1);
+        budget.bytes.fill(now);
+        budget.bytes.level -= bytes as f64;
     }
 }
 
@@ -168,34 +168,38 @@
 
     #[test]
     fn longest_prefix_of_whole_segments_owns_a_path() {
-        let c = contracts();
-        assert_eq!(c.route("/talks/1"), Some((0, ClassId(0))));
-        assert_eq!(c.route("/talks/inner/1"), Some((1, ClassId(1))));
-        assert_eq!(c.route("/talks-private/1"), None, "a prefix must not reach into a neighbour's name");
+        let contracts = contracts();
+        assert_eq!(contracts.route("/talks/1"), Some((0, ClassId(0))));
+        assert_eq!(contracts.route("/talks/inner/1"), Some((1, ClassId(1))));
+        assert_eq!(
+            contracts.route("/talks-private/1"),
+            None,
+            "a prefix must not reach into a neighbour's name"
+        );
         let request = |team, class, path: &str| ClientRequest {
             team,
             class: ClassId(class),
             path: Some(path.into()),
             ..ClientRequest::default()
         };
-        assert!(c.covers(&request(Some(0), 0, "/talks/1")));
-        assert!(!c.covers(&request(Some(0), 1, "/talks/1")), "a class outside the contract");
-        assert!(!c.covers(&request(Some(0), 0, "/talks/inner/1")), "another team's path");
-        assert!(!c.covers(&request(None, 0, "/talks/1")), "no team");
+        assert!(contracts.covers(&request(Some(0), 0, "/talks/1")));
+        assert!(!contracts.covers(&request(Some(0), 1, "/talks/1")), "a class outside the contract");
+        assert!(!contracts.covers(&request(Some(0), 0, "/talks/inner/1")), "another team's path");
+        assert!(!contracts.covers(&request(None, 0, "/talks/1")), "no team");
         assert!(Contracts::default().covers(&request(None, 0, "/x")), "no contracts, no limits");
     }
 
     #[test]
     fn exhausted_budgets_refill() {
-        let mut b = Budgets::new(&contracts());
-        assert_eq!(b.admit(10.0, Some(0)), Ok(()));
-        assert_eq!(b.admit(10.0, Some(0)), Ok(()));
-        assert_eq!(b.admit(10.0, Some(0)), Err(0.5), "two a second");
-        assert_eq!(b.admit(10.0, Some(1)), Ok(()), "another team's budget is its own");
-        assert_eq!(b.admit(11.0, Some(0)), Err(IN_FLIGHT_RETRY_SECONDS), "two open");
-        b.release(11.0, Some(0), 3000);
-        assert_eq!(b.admit(11.0, Some(0)), Err(2.0), "2,000 bytes in debt at 1,000 a second");
-        b.release(13.0, Some(0), 0);
-        assert_eq!(b.admit(13.0, Some(0)), Ok(()));
+        let mut budgets = Budgets::new(&contracts());
+        assert_eq!(budgets.admit(10.0, Some(0)), Ok(()));
+        assert_eq!(budgets.admit(10.0, Some(0)), Ok(()));
+        assert_eq!(budgets.admit(10.0, Some(0)), Err(0.5), "two a second");
+        assert_eq!(budgets.admit(10.0, Some(1)), Ok(()), "another team's budget is its own");
+        assert_eq!(budgets.admit(11.0, Some(0)), Err(IN_FLIGHT_RETRY_SECONDS), "two open");
+        budgets.release(11.0, Some(0), 3000);
+        assert_eq!(budgets.admit(11.0, Some(0)), Err(2.0), "2,000 bytes in debt at 1,000 a second");
+        budgets.release(13.0, Some(0), 0);
+        assert_eq!(budgets.admit(13.0, Some(0)), Ok(()));
     }
 }
--- a/src/broker/timers.rs
+++ b/src/broker/timers.rs
@@ -8,11 +8,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
     /// Deliver an alarm that the director requested.
-    Alarm(u64),
+    Director(u64),
     /// Check the deadline of a request and the timeout of its attempt.
     Deadline(RequestId),
     /// End an abandoned attempt: its node has read the cancel or reset by now.
-    Propagated(RequestId, u16),
+    Abandoned(RequestId, u16),
 }
 
 /// A heap of timers by Unix time, kept in microseconds.
--- a/src/config/members.rs
+++ b/src/config/members.rs
@@ -41,8 +41,8 @@
         let word = at.get(key)?;
         let text = word.text()?;
         let index =
-            names.iter().position(|w| w == text).ok_or_else(|| word.invalid("a name in the settings"))?;
-        u16::try_from(index).map_err(|_| word.invalid("one of the first 65536 names"))
+            names.iter().position(|w| w == text).ok_or_else(|| word.invalid("a word of the settings"))?;
+        u16::try_from(index).map_err(|_| word.invalid("a place that can be counted"))
     };
     let id = at.get("id")?;
     let digits = id.text()?.strip_prefix("s-").and_then(|d| u32::from_str_radix(d, 16).ok());
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -100,8 +100,8 @@
 /// process that replaces another gets its own address there.
 pub fn override_admin_address(variable: Option<&str>, config: &mut Config) -> Result<(), String> {
     if let Some(text) = variable {
-        let wrong = |_| format!("NODE_ADMIN_ADDR: '{text}' is not an address and a port");
-        config.admin = Some(text.trim().parse().map_err(wrong)?);
+        let invalid = |_| format!("NODE_ADMIN_ADDR: '{text}' is not an address and a port");
+        config.admin = Some(text.trim().parse().map_err(invalid)?);
     }
     Ok(())
 }
@@ -134,7 +134,7 @@
         None => Value::Object(Map::new()),
         Some((name, text)) => strict::json(text).map_err(|e| format!("{name}: not JSON: {e}"))?,
     };
-    let own: Map<String, Value> = match &operator {
+    let operator_keys: Map<String, Value> = match &operator {
         None => Map::new(),
         Some((name, text)) => {
             toml::from_str(text).map_err(|e| format!("{name}: not TOML: {}", e.message()))?
@@ -143,10 +143,11 @@
     let (platform, operator) = (platform.map(|p| p.0), operator.map_or("", |o| o.0));
     let platform = platform.unwrap_or(operator);
     let top = tree.as_object_mut().ok_or_else(|| format!("{platform}: not a JSON object"))?;
-    top.extend(own.clone());
-    let own_keys = Value::Object(own.clone());
-    KeyPath { value: &own_keys, file: operator, path: String::new(), sources: None }.only(&TOP_LEVEL_KEYS)?;
-    let sources = Sources { platform, operator, own };
+    top.extend(operator_keys.clone());
+    let operator_value = Value::Object(operator_keys.clone());
+    KeyPath { value: &operator_value, file: operator, path: String::new(), sources: None }
+        .only(&TOP_LEVEL_KEYS)?;
+    let sources = Sources { platform, operator, operator_keys };
     let mut config = config(&tree, &sources)?;
     if let Value::Object(top) = &mut tree {
         top.retain(|key, _| key != "known" && key != "seed");
@@ -158,12 +159,12 @@
 /// Builds the configuration from the merged files.
 fn config(value: &Value, sources: &Sources) -> Result<Config, String> {
     let top = KeyPath { value, file: sources.platform, path: String::new(), sources: Some(sources) };
-    let inner = top.get("settings")?;
-    let settings = read_settings(&inner)?;
-    let caps = inner.get("caps")?;
+    let director = top.get("settings")?;
+    let settings = read_settings(&director)?;
+    let caps = director.get("caps")?;
     let above_zero_or =
         |at: &KeyPath, key: &str, default: f64| at.opt(key).map_or(Ok(default), |v| v.above_zero());
-    let names = |key: &str| inner.get(key)?.names(KeyPath::text);
+    let names = |key: &str| director.get(key)?.names(KeyPath::text);
     let limits = top.get("limits")?;
     let seed = match top.opt("seed") {
         Some(seed) => {
@@ -171,7 +172,7 @@
         }
         None => fastrand::u64(..),
     };
-    let classes = inner.get("profiles")?.names(|c| c.get("name")?.text())?;
+    let classes = director.get("profiles")?.names(|c| c.get("name")?.text())?;
     let classes = Classes::new(classes, &settings.classes);
     let names = Names { zones: names("localities")?, kinds: names("kinds")? };
     let signed = top.opt("signed").map(|s| signed(&s)).transpose()?;
@@ -179,7 +180,7 @@
     let contracts = top
         .opt("teams")
         .map_or(Ok(Contracts::default()), |t| t.list(|t| team(t, &classes)).map(Contracts))?;
-    if signed.is_some() && contracts.none() {
+    if signed.is_some() && contracts.is_empty() {
         return Err(format!(
             "{}: 'teams' is missing: the signed front serves what contracts cover",
             sources.operator
@@ -210,7 +211,7 @@
         connect_timeout: above_zero_or(&caps, "connect-timeout", 0.4)?,
         node_idle_timeout: above_zero_or(&caps, "keepalive", 15.0)?,
         max_requests_per_connection: above_zero_or(&caps, "max-streams", 100.0)? as usize,
-        handshake_cost: match inner.opt("prices").and_then(|prices| prices.opt("handshake")) {
+        handshake_cost: match director.opt("prices").and_then(|prices| prices.opt("handshake")) {
             Some(price) => price.amount()?,
             None => 0.0,
         },
--- a/src/config/strict.rs
+++ b/src/config/strict.rs
@@ -46,22 +46,22 @@
         Ok(value.into())
     }
     fn visit_seq<A: SeqAccess<'de>>(self, mut from: A) -> Result<Value, A::Error> {
-        let mut all = Vec::new();
-        while let Some(value) = from.next_element_seed(ValueAtPath(format!("{}{}.", self.0, all.len())))? {
-            all.push(value);
+        let mut items = Vec::new();
+        while let Some(value) = from.next_element_seed(ValueAtPath(format!("{}{}.", self.0, items.len())))? {
+            items.push(value);
         }
-        Ok(Value::Array(all))
+        Ok(Value::Array(items))
     }
     fn visit_map<A: MapAccess<'de>>(self, mut from: A) -> Result<Value, A::Error> {
-        let mut all = Map::new();
+        let mut entries = Map::new();
         while let Some(key) = from.next_key::<String>()? {
             let path = format!("{}{key}", self.0);
-            if all.contains_key(&key) {
+            if entries.contains_key(&key) {
                 return Err(A::Error::custom(format_args!("'{path}' stands twice, and may once")));
             }
             let value = from.next_value_seed(ValueAtPath(format!("{path}.")))?;
-            all.insert(key, value);
+            entries.insert(key, value);
         }
-        Ok(Value::Object(all))
+        Ok(Value::Object(entries))
     }
 }
