--- a/src/broker/model.rs
+++ b/src/broker/model.rs
@@ -170,9 +170,9 @@
                     }
                     Effect::Command(Command::Cancel { attempt_id, node }) => {
                         let key = (attempt_id.request.0, attempt_id.attempt);
-                        let Some(out) = self.in_flight.get_mut(&key) else { continue };
-                        prop_assert_eq!(out.order.node, node);
-                        prop_assert!(!std::mem::replace(&mut out.cancelled, true), "cancelled twice");
+                        let Some(attempt) = self.in_flight.get_mut(&key) else { continue };
+                        prop_assert_eq!(attempt.order.node, node);
+                        prop_assert!(!std::mem::replace(&mut attempt.cancelled, true), "cancelled twice");
                         self.end(
                             broker,
                             key,
@@ -206,15 +206,15 @@
 
     /// Ends an attempt; `closed_by_front`: because this side closed the connection.
     fn end(&mut self, broker: &mut Broker, key: (u32, u16), outcome: Outcome, closed_by_front: bool) {
-        let Some(out) = self.in_flight.remove(&key) else { return };
-        if out.order.class.as_ref() == "unsafe" && !outcome.never_ran() {
-            self.executed.insert(out.order.request.call.parse().unwrap());
+        let Some(attempt) = self.in_flight.remove(&key) else { return };
+        if attempt.order.class.as_ref() == "unsafe" && !outcome.never_ran() {
+            self.executed.insert(attempt.order.request.call.parse().unwrap());
         }
         let body = format!("{key:?}").into_bytes();
         let content = (outcome == Outcome::Ok).then(|| Content { body: body.clone(), ..Content::default() });
         self.node_answer = content.is_some().then_some(body);
         let note = if outcome == Outcome::Ok { Note::Hit } else { Note::None };
-        let attempt_id = out.order.attempt_id;
+        let attempt_id = attempt.order.attempt_id;
         if outcome == Outcome::Cancelled || closed_by_front {
             self.abandoned.insert(key, self.now + PROPAGATION_SECONDS);
             let propagation = PROPAGATION_SECONDS;
@@ -265,9 +265,9 @@
             Step::Written(which) => {
                 let waiting = world.in_flight.iter().filter(|o| !o.1.written).map(|o| *o.0).collect();
                 if let Some(key) = pick(which, waiting) {
-                    let out = world.in_flight.get_mut(&key).unwrap();
-                    out.written = true;
-                    broker.handle_report(world.now, Report::WriteStarted(out.order.attempt_id));
+                    let attempt = world.in_flight.get_mut(&key).unwrap();
+                    attempt.written = true;
+                    broker.handle_report(world.now, Report::WriteStarted(attempt.order.attempt_id));
                 }
             }
             Step::End { which, how } => {
@@ -281,7 +281,8 @@
                 let state =
                     [NodeState::Ready, NodeState::Draining, NodeState::Withdrawn][usize::from(state) % 3];
                 world.states[id as usize] = state;
-                let before: Vec<_> = world.in_flight.iter().filter(|o| !o.1.written).map(|o| *o.0).collect();
+                let unwritten: Vec<_> =
+                    world.in_flight.iter().filter(|o| !o.1.written).map(|o| *o.0).collect();
                 broker.apply_update(
                     world.now,
                     DiscoveryUpdate::NodeList { full: false, members: vec![member(id, state)] },
@@ -289,22 +290,23 @@
                 );
                 world.check_effects(&mut broker)?;
                 // An unwritten attempt must not be sent to a draining node, nor name it as a source.
-                for out in before.iter().filter_map(|k| world.in_flight.get(k)) {
-                    let affected = out.order.node.0 == id || out.order.source == Some(NodeId(id));
+                for attempt in unwritten.iter().filter_map(|k| world.in_flight.get(k)) {
+                    let affected = attempt.order.node.0 == id || attempt.order.source == Some(NodeId(id));
                     prop_assert!(!affected || state == NodeState::Ready, "still waiting for {:?}", id);
                 }
             }
             Step::Purge { object, group } => {
                 let object = (!group).then_some(ObjectId(object.into()));
-                let before: Vec<_> = world.in_flight.iter().filter(|o| !o.1.written).map(|o| *o.0).collect();
+                let unwritten: Vec<_> =
+                    world.in_flight.iter().filter(|o| !o.1.written).map(|o| *o.0).collect();
                 broker.apply_update(
                     world.now,
                     DiscoveryUpdate::Purge { object, group: GroupId(3), at: world.now },
                     false,
                 );
                 world.check_effects(&mut broker)?;
-                for out in before.iter().filter_map(|k| world.in_flight.get(k)) {
-                    let affected = object.is_none_or(|o| o == out.order.request.object);
+                for attempt in unwritten.iter().filter_map(|k| world.in_flight.get(k)) {
+                    let affected = object.is_none_or(|o| o == attempt.order.request.object);
                     prop_assert!(!affected, "still waiting with an age limit from before a purge");
                 }
             }
--- a/src/membership/model.rs
+++ b/src/membership/model.rs
@@ -9,7 +9,7 @@
 
 #[derive(Debug, Clone)]
 enum Step {
-    /// A full or incremental list of these nodes with these states (0 ready, 1 draining, 2 gone).
+    /// A full or incremental list of these nodes with these states (0 ready, 1 draining, 2 withdrawn).
     List {
         full: bool,
         nodes: Vec<(u8, u8)>,
