--- a/benches/beliefs.rs
+++ b/benches/beliefs.rs
@@ -94,7 +94,7 @@
             |t, now, i| t.believe(now, object(i, nodes), 0, NodeId(i % nodes), now),
             |t, o| {
                 let mut n = 0;
-                t.each(o, 0, |_, _| n += 1);
+                t.for_each_holder(o, 0, |_, _| n += 1);
                 n
             },
             nodes,
--- a/crates/lab/src/emulate/world/attempts.rs
+++ b/crates/lab/src/emulate/world/attempts.rs
@@ -21,7 +21,7 @@
     /// Where the cache fills from what it lacks.
     pub source: NodeId,
     /// The source is not to fetch what it lacks.
-    pub held_only: bool,
+    pub only_if_cached: bool,
 }
 
 /// What a cache finds for an attempt.
@@ -93,7 +93,7 @@
             return Lookup::SourceFailed { after: SIBLING_WAIT };
         }
         if !self.caches[sibling].copies.contains(request.object) {
-            return Lookup::Missed { note: Note::SourceLacks, after: SIBLING_WAIT };
+            return Lookup::Missed { note: Note::SourceMiss, after: SIBLING_WAIT };
         }
         let id = self.transfers.new_id();
         self.caches[sibling].link.add(self.schedule.now(), id, request.work);
@@ -102,8 +102,8 @@
     }
 
     fn fill_from_upstream(&mut self, request: &OpenRequest, order: FetchOrder) -> Lookup {
-        match self.upstream.fetch(order.source, request.object, order.held_only) {
-            UpstreamAnswer::NotHeld => Lookup::Missed { note: Note::SourceLacks, after: PARENT_WAIT },
+        match self.upstream.fetch(order.source, request.object, order.only_if_cached) {
+            UpstreamAnswer::NotHeld => Lookup::Missed { note: Note::SourceMiss, after: PARENT_WAIT },
             UpstreamAnswer::FromParent => {
                 self.statistics.work_filled += request.work;
                 Lookup::filled(Note::Filled, PARENT_WAIT)
--- a/crates/lab/src/emulate/world/attempts/tests.rs
+++ b/crates/lab/src/emulate/world/attempts/tests.rs
@@ -45,7 +45,7 @@
     let request =
         OpenRequest { object: OBJECT, work: 0.1, arrived_at: now, expires: now + 10.0, attempts: 0 };
     world.open.insert(REQUEST, request);
-    let order = FetchOrder { node: world.caches[ASKED].id, source, held_only: false };
+    let order = FetchOrder { node: world.caches[ASKED].id, source, only_if_cached: false };
     world.start_attempt(REQUEST, order);
     loop {
         match world.schedule.advance().expect("the end of the attempt") {
@@ -79,7 +79,7 @@
 fn a_sibling_without_a_copy_fetches_none() {
     let mut world = world();
     let sibling = world.caches[SIBLING].id;
-    assert_ending(&fill_from(&mut world, sibling), Outcome::Miss, Note::SourceLacks);
+    assert_ending(&fill_from(&mut world, sibling), Outcome::Miss, Note::SourceMiss);
     assert_eq!(world.statistics.work_filled, 0.0, "no parent was asked");
 }
 
@@ -105,7 +105,7 @@
     assert_ending(&fill_from(&mut world, sibling), Outcome::Error, Note::SourceFailed);
     world.caches[SIBLING].up = true;
     world.caches[SIBLING].return_empty(world.schedule.now());
-    assert_ending(&fill_from(&mut world, sibling), Outcome::Miss, Note::SourceLacks);
+    assert_ending(&fill_from(&mut world, sibling), Outcome::Miss, Note::SourceMiss);
 }
 
 #[test]
--- a/crates/lab/src/emulate/world/caches.rs
+++ b/crates/lab/src/emulate/world/caches.rs
@@ -68,7 +68,7 @@
     pub fn listed(&self) -> Node {
         Node {
             id: self.id,
-            state: if self.up { NodeState::Ready } else { NodeState::Gone },
+            state: if self.up { NodeState::Ready } else { NodeState::Withdrawn },
             weight: self.usual_link,
             ready_at: self.ready_at,
             zone: CACHE_ZONE,
@@ -110,7 +110,7 @@
 
     /// The links of cold caches grow with the time since they came back.
     pub(super) fn warm_up_caches(&mut self) {
-        let (first_share, warm_up_time) = (self.settings.cold_from, self.settings.cold_for);
+        let (first_share, warm_up_time) = (self.settings.cold_start_share, self.settings.warm_up_time);
         let now = self.schedule.now();
         for index in 0..self.caches.len() {
             let cache = &self.caches[index];
--- a/crates/lab/src/emulate/world/fronts.rs
+++ b/crates/lab/src/emulate/world/fronts.rs
@@ -37,7 +37,7 @@
 impl World {
     /// A director that has just started and knows the list of the nodes only.
     pub(super) fn new_director(&mut self, front: FrontIndex) -> Director {
-        let settings = Settings { me: front as u16, ..self.settings.clone() };
+        let settings = Settings { director_number: front as u16, ..self.settings.clone() };
         let mut director = Director::new(self.random.random(), settings);
         let list = Event::List { kind: ListKind::Cached, nodes: self.listed_nodes() };
         director.handle(self.schedule.now(), list, &mut Vec::new());
@@ -79,7 +79,7 @@
     fn perform(&mut self, front: FrontIndex, action: Action) {
         match action {
             Action::Fetch { request, node, source, options, .. } => {
-                let order = FetchOrder { node, source, held_only: options.held_only };
+                let order = FetchOrder { node, source, only_if_cached: options.only_if_cached };
                 self.start_attempt(RequestKey { front, id: request }, order);
             }
             Action::Refuse { request, .. } => self.refuse(RequestKey { front, id: request }),
@@ -90,7 +90,7 @@
                     number: attempt,
                 });
             }
-            Action::Alarm { token, after } => {
+            Action::SetTimer { token, after } => {
                 self.schedule.after(after, ScheduledEvent::Alarm(front, token));
             }
             _ => {}
@@ -113,7 +113,7 @@
         let Some(cache) = policy.choose(object, &up, sent_kb, &mut self.random) else { return };
         sent_kb[cache] += request.kb;
         let order =
-            FetchOrder { node: self.caches[cache].id, source: Upstream::parent_of(object), held_only: false };
+            FetchOrder { node: self.caches[cache].id, source: Upstream::parent_of(object), only_if_cached: false };
         self.start_attempt(RequestKey { front, id: request.id }, order);
     }
 }
--- a/crates/lab/src/emulate/world/mod.rs
+++ b/crates/lab/src/emulate/world/mod.rs
@@ -104,7 +104,7 @@
     fn handle(&mut self, event: ScheduledEvent) {
         match event {
             ScheduledEvent::Arrival(front) => self.arrive(front),
-            ScheduledEvent::Alarm(front, token) => self.notify_front(front, Event::Alarm { token }),
+            ScheduledEvent::Alarm(front, token) => self.notify_front(front, Event::TimerFired { token }),
             ScheduledEvent::TransferStart(id) => self.start_transfer(id),
             ScheduledEvent::LinkProgress(cache, version) => self.finish_transfers(cache, version),
             ScheduledEvent::AttemptEnd(transfer, outcome) => self.end_attempt(transfer, outcome),
@@ -124,7 +124,7 @@
     Settings {
         directors: scenario.fronts as u16,
         directors_by_zone: vec![0, scenario.fronts as u16],
-        zone_link: vec![0.0, links * settings.flow],
+        zone_link_kb_per_s: vec![0.0, links * settings.answer_kb_per_s],
         ..settings
     }
 }
--- a/crates/lab/src/emulate/world/requests.rs
+++ b/crates/lab/src/emulate/world/requests.rs
@@ -80,7 +80,7 @@
             id: key.id,
             object: ObjectId(object),
             expires,
-            kb: work * self.settings.flow,
+            kb: work * self.settings.answer_kb_per_s,
             ..Request::default()
         };
         self.notify_front(front, Event::Request(request));
--- a/crates/lab/src/emulate/world/upstream.rs
+++ b/crates/lab/src/emulate/world/upstream.rs
@@ -51,15 +51,15 @@
         NodeId(FIRST_PARENT + object % PARENTS)
     }
 
-    /// A cache asks `source` for an object; unless `held_only` is set, a parent fetches what it lacks.
+    /// A cache asks `source` for an object; unless `only_if_cached` is set, a parent fetches what it lacks.
     /// Any other source is a fault of the front that named it, since it was on none of its lists.
-    pub fn fetch(&mut self, source: NodeId, object: u64, held_only: bool) -> UpstreamAnswer {
+    pub fn fetch(&mut self, source: NodeId, object: u64, only_if_cached: bool) -> UpstreamAnswer {
         assert!(source == ORIGIN || is_parent(source), "a listed source, not {source:?}");
         let copies = self.copies.entry(source).or_default();
         if source != ORIGIN && copies.contains(object) {
             return UpstreamAnswer::FromParent;
         }
-        if held_only && source != ORIGIN {
+        if only_if_cached && source != ORIGIN {
             return UpstreamAnswer::NotHeld;
         }
         copies.insert(object, PARENT_CAPACITY);
--- a/src/bin/onyxyoke-benchlink/main.rs
+++ b/src/bin/onyxyoke-benchlink/main.rs
@@ -1,5 +1,5 @@
-//! Adapter: hosts many directors and speaks the simulator's wire on standard input and output.
-//! Pure translation; every decision is the library's.
+//! Adapter between many directors and the simulator, whose frames it exchanges on standard input and output.
+//! It only translates; every decision is made by the library.
 #![forbid(unsafe_code)]
 
 mod wire;
@@ -12,62 +12,62 @@
 use std::sync::Arc;
 use wire::{Record, Reply};
 
-/// The number of lists that can be in force at a time.
-const LISTS: usize = 16;
+/// Node lists that can exist at a time.
+const MAX_LISTS: usize = 16;
 
-/// All instances of this process; they share nothing.
+/// The directors of this process by instance, and the node lists that list events refer to.
 #[derive(Default)]
 struct Host {
     directors: BTreeMap<u16, Director>,
-    lists: [Option<Arc<[Node]>>; LISTS],
+    lists: [Option<Arc<[Node]>>; MAX_LISTS],
 }
 
 impl Host {
-    /// Feeds one batch and returns the reply frame.
-    fn answer(&mut self, frame: &[u8]) -> Result<Vec<u8>, String> {
+    /// Handles one batch and returns the reply frame.
+    fn handle(&mut self, frame: &[u8]) -> Result<Vec<u8>, String> {
         let batch = wire::Batch::parse(frame)?;
         let mut reply = Reply::new(batch.number);
         let mut current = None;
         let mut actions = Vec::new();
         for record in batch.records() {
             let event = match record? {
-                Record::On(instance) => {
+                Record::Instance(instance) => {
                     current = Some(instance);
                     continue;
                 }
-                Record::Catalog { page, nodes } => {
-                    let slot = self.lists.get_mut(usize::from(page)).ok_or("list number out of range")?;
+                Record::NodeList { number, nodes } => {
+                    let slot = self.lists.get_mut(usize::from(number)).ok_or("list number out of range")?;
                     *slot = Some(nodes.into());
                     continue;
                 }
-                Record::PowerOn { seed, settings } => {
-                    let instance = current.ok_or("a start without an instance")?;
+                Record::Start { seed, settings } => {
+                    let instance = current.ok_or("start without an instance")?;
                     let settings = onyxyoke::config::settings(settings)?;
                     self.directors.insert(instance, Director::new(seed, settings));
                     continue;
                 }
-                Record::PowerOff => {
-                    self.directors.remove(&current.ok_or("a stop without an instance")?);
+                Record::Stop => {
+                    self.directors.remove(&current.ok_or("stop without an instance")?);
                     continue;
                 }
-                Record::View { kind, page } => {
-                    let nodes = match page {
+                Record::ListEvent { kind, number } => {
+                    let nodes = match number {
                         None => Vec::new().into(),
-                        Some(page) => self
+                        Some(number) => self
                             .lists
-                            .get(usize::from(page))
+                            .get(usize::from(number))
                             .and_then(Clone::clone)
-                            .ok_or("a view names a list that was never given")?,
+                            .ok_or("list event refers to a node list that was never given")?,
                     };
                     Event::List { kind, nodes }
                 }
                 Record::Event(event) => event,
             };
-            let instance = current.ok_or("an event without an instance")?;
+            let instance = current.ok_or("event without an instance")?;
             let director = self
                 .directors
                 .get_mut(&instance)
-                .ok_or_else(|| format!("an event for instance {instance}, which is not running"))?;
+                .ok_or_else(|| format!("event for instance {instance}, which is not running"))?;
             if let Event::Request(request) = &event
                 && usize::from(request.class.0) >= director.settings().classes.len()
             {
@@ -86,7 +86,7 @@
     }
 }
 
-/// Reads one frame; `None` at a clean end of input.
+/// Reads one frame; `None` at the end of the input.
 fn read_frame(input: &mut impl Read) -> Result<Option<Vec<u8>>, String> {
     let mut head = [0u8; 4];
     let mut got = 0;
@@ -114,7 +114,7 @@
     let mut output = BufWriter::new(io::stdout().lock());
     let mut host = Host::default();
     while let Some(frame) = read_frame(&mut input)? {
-        let reply = host.answer(&frame)?;
+        let reply = host.handle(&frame)?;
         output.write_all(&reply).and_then(|()| output.flush()).map_err(|e| format!("cannot write: {e}"))?;
     }
     Ok(())
--- a/src/bin/onyxyoke-benchlink/wire.rs
+++ b/src/bin/onyxyoke-benchlink/wire.rs
@@ -1,43 +1,44 @@
-//! The frame codec: little-endian, no padding, every record with its length.
+//! The codec of the simulator's frames: little-endian, without padding; every record starts with its code and
+//! length.
 
 use onyxyoke::interface::*;
 
-/// Size of a batch's header.
-const BATCH_HEAD: usize = 20;
-/// Size of a reply's header.
-const REPLY_HEAD: usize = 12;
-/// Size of a list entry.
-const ENTRY: usize = 25;
-/// A frame larger than this is taken for garbage.
-const FRAME_MOST: usize = 1 << 30;
-/// Longest timer that the wire takes, in seconds.
-const TIMER_MOST: f64 = 71.0 * 60.0;
-/// The addressee that stands for every peer.
-const EVERYONE: u16 = u16::MAX;
+/// Size of a batch's header (bytes).
+const BATCH_HEADER: usize = 20;
+/// Size of a reply's header (bytes).
+const REPLY_HEADER: usize = 12;
+/// Size of an entry of a node list (bytes).
+const ENTRY_SIZE: usize = 25;
+/// Largest frame that is accepted (bytes).
+const MAX_FRAME: usize = 1 << 30;
+/// Longest timer that the wire can carry (seconds).
+const MAX_TIMER: f64 = 71.0 * 60.0;
+/// The recipient that stands for every peer.
+const ALL_PEERS: u16 = u16::MAX;
 
-/// Checks the length at the head of a frame.
+/// Returns the size of a frame from its first bytes, if it is possible.
 pub fn frame_size(head: [u8; 4]) -> Result<usize, String> {
     let size = u32::from_le_bytes(head) as usize;
-    if (BATCH_HEAD..=FRAME_MOST).contains(&size) {
+    if (BATCH_HEADER..=MAX_FRAME).contains(&size) {
         Ok(size)
     } else {
-        Err(format!("a frame of {size} bytes cannot be"))
+        Err(format!("a frame size of {size} bytes cannot be right"))
     }
 }
 
-/// Reads fields one after another.
+/// Reads the fields of a record one after another.
 struct Fields<'a> {
     rest: &'a [u8],
 }
 
 impl<'a> Fields<'a> {
     fn bytes(&mut self, n: usize) -> Result<&'a [u8], String> {
-        let (head, rest) = self.rest.split_at_checked(n).ok_or("a record is cut short")?;
+        let (head, rest) = self.rest.split_at_checked(n).ok_or("record is cut short")?;
         self.rest = rest;
         Ok(head)
     }
     fn array<const N: usize>(&mut self) -> Result<[u8; N], String> {
-        let (head, rest) = self.rest.split_first_chunk::<N>().ok_or("a record is cut short")?;
+        let (head, rest) = self.rest.split_first_chunk::<N>().ok_or("record is cut short")?;
         self.rest = rest;
         Ok(*head)
     }
@@ -63,11 +64,11 @@
         let b: [u8; 6] = self.array()?;
         Ok(NodeId(u64::from_le_bytes([b[0], b[1], b[2], b[3], b[4], b[5], 0, 0])))
     }
-    /// A number carried as a float.
-    fn whole(&mut self) -> Result<u32, String> {
+    /// Reads an integer that is carried as a float.
+    fn integer(&mut self) -> Result<u32, String> {
         let v = self.f32()?;
         if v < 0.0 || v.fract() != 0.0 || v > f64::from(u32::MAX) {
-            return Err(format!("{v} is not a whole number"));
+            return Err(format!("{v} is not an integer"));
         }
         Ok(v as u32)
     }
@@ -78,26 +79,26 @@
 }
 
 fn finite(v: f64) -> Result<f64, String> {
-    if v.is_finite() { Ok(v) } else { Err("a number is not finite".into()) }
+    if v.is_finite() { Ok(v) } else { Err("number is not finite".into()) }
 }
 
 /// One record of a batch.
 pub enum Record<'a> {
-    /// What follows is for this instance.
-    On(u16),
-    /// A numbered list of nodes for the whole process.
-    Catalog { page: u16, nodes: Vec<Node> },
+    /// The records that follow are for this instance.
+    Instance(u16),
+    /// A numbered list of nodes, for all instances.
+    NodeList { number: u16, nodes: Vec<Node> },
     /// An instance starts.
-    PowerOn { seed: u64, settings: &'a [u8] },
+    Start { seed: u64, settings: &'a [u8] },
     /// An instance was killed.
-    PowerOff,
-    /// News of the list, with the number of the list it uses.
-    View { kind: ListKind, page: Option<u16> },
-    /// Anything else.
+    Stop,
+    /// A list event, which refers to a node list by its number.
+    ListEvent { kind: ListKind, number: Option<u16> },
+    /// Any other event.
     Event(Event),
 }
 
-/// A parsed batch header with its records still encoded.
+/// A batch with a parsed header and encoded records.
 pub struct Batch<'a> {
     pub clock: f64,
     pub number: u32,
@@ -110,7 +111,7 @@
         let mut fields = Fields { rest: frame };
         let size = fields.u32()? as usize;
         if size != frame.len() {
-            return Err("a frame's length does not match".into());
+            return Err("frame length does not match its header".into());
         }
         let clock = fields.f64()?;
         let count = fields.u32()?;
@@ -118,7 +119,7 @@
         Ok(Batch { clock, number, count, body: fields.rest })
     }
 
-    /// The records in order; an error ends them.
+    /// Decodes the records in order, up to the first error.
     pub fn records(&self) -> impl Iterator<Item = Result<Record<'a>, String>> {
         let mut fields = Fields { rest: self.body };
         let mut left = self.count;
@@ -126,10 +127,10 @@
             if left == 0 {
                 let more = !fields.rest.is_empty();
                 fields.rest = &[];
-                return more.then(|| Err("a frame holds more than its records".into()));
+                return more.then(|| Err("frame holds more than its records".into()));
             }
             left -= 1;
-            let record = record(&mut fields);
+            let record = decode_record(&mut fields);
             if record.is_err() {
                 left = 0;
                 fields.rest = &[];
@@ -139,7 +140,7 @@
     }
 }
 
-fn record<'a>(fields: &mut Fields<'a>) -> Result<Record<'a>, String> {
+fn decode_record<'a>(fields: &mut Fields<'a>) -> Result<Record<'a>, String> {
     let code = fields.u8()?;
     let length = fields.u32()? as usize;
     let mut f = Fields { rest: fields.bytes(length)? };
@@ -147,7 +148,7 @@
         0 => {
             let seed = f.u64()?;
             let n = f.u32()? as usize;
-            return Ok(Record::PowerOn { seed, settings: f.bytes(n)? });
+            return Ok(Record::Start { seed, settings: f.bytes(n)? });
         }
         1 => {
             let kind = match f.u8()? {
@@ -155,11 +156,12 @@
                 1 => ListKind::Full,
                 2 => ListKind::Cached,
                 3 => ListKind::Failed,
-                other => return Err(format!("view mode {other} is unknown")),
+                other => return Err(format!("unknown view mode {other}")),
             };
             let _version = f.u32()?;
-            let page = f.u16()?;
-            return Ok(Record::View { kind, page: (kind != ListKind::Failed).then_some(page) });
+            let number = f.u16()?;
+            let number = (kind != ListKind::Failed).then_some(number);
+            return Ok(Record::ListEvent { kind, number });
         }
         2 => {
             let mut r = Request {
@@ -169,13 +171,13 @@
                 object: ObjectId(f.u64()?),
                 expires: f.f64()?,
                 kb: f.f32()?,
-                group: GroupId(f.whole()?),
-                part: f.whole()?,
+                group: GroupId(f.integer()?),
+                part: f.integer()?,
                 ..Request::default()
             };
-            let marks = f.u8()?;
-            r.repeat = marks & 2 != 0;
-            r.write = marks & 4 != 0;
+            let flags = f.u8()?;
+            r.repeat = flags & 2 != 0;
+            r.write = flags & 4 != 0;
             Event::Request(r)
         }
         3 => {
@@ -196,44 +198,44 @@
             load: f.load()?,
         },
         5 => Event::Expired { request: RequestId(f.u32()?) },
-        6 => Event::Alarm { token: f.u64()? },
+        6 => Event::TimerFired { token: f.u64()? },
         7 => {
             let outcome = outcome(f.u16()?)?;
             let took = f.f64()?;
-            Event::Probed { node: f.node()?, outcome, took, load: f.load()? }
+            Event::ProbeEnd { node: f.node()?, outcome, took, load: f.load()? }
         }
         8 => {
             let from = PeerId(f.u16()?);
             let n = usize::from(f.u16()?);
             Event::Message { from, content: f.bytes(n)?.to_vec() }
         }
-        9 => return Ok(Record::PowerOff),
+        9 => return Ok(Record::Stop),
         10 => {
             let object = f.u64()?;
             let group = GroupId(u32::from(f.u16()?));
             Event::Purged { object: (object != 0).then_some(ObjectId(object)), group, age: f.f64()? }
         }
         11 => {
-            let page = f.u16()?;
+            let number = f.u16()?;
             let n = f.u32()? as usize;
-            if n > f.rest.len() / ENTRY {
-                return Err("a list is cut short".into());
+            if n > f.rest.len() / ENTRY_SIZE {
+                return Err("node list is cut short".into());
             }
             let nodes = (0..n).map(|_| entry(&mut f)).collect::<Result<_, _>>()?;
-            return Ok(Record::Catalog { page, nodes });
+            return Ok(Record::NodeList { number, nodes });
         }
-        12 => return Ok(Record::On(f.u16()?)),
-        other => return Err(format!("event code {other} is unknown")),
+        12 => return Ok(Record::Instance(f.u16()?)),
+        other => return Err(format!("unknown event code {other}")),
     };
     Ok(Record::Event(event))
 }
 
 fn entry(f: &mut Fields) -> Result<Node, String> {
     let state = match f.u8()? {
-        0 => NodeState::Gone,
+        0 => NodeState::Withdrawn,
         1 => NodeState::Ready,
         2 => NodeState::Draining,
-        other => return Err(format!("availability {other} is unknown")),
+        other => return Err(format!("unknown availability {other}")),
     };
     let cell = f.u16()?;
     let id = f.node()?;
@@ -253,8 +255,8 @@
         304 => Outcome::ConnectFailed,
         305 => Outcome::Reset,
         306 => Outcome::Cancelled,
-        307 => Outcome::Moot,
-        other => return Err(format!("result {other} is unknown")),
+        307 => Outcome::NotSent,
+        other => return Err(format!("unknown result {other}")),
     })
 }
 
@@ -265,17 +267,17 @@
         2 => Note::Filled,
         3 => Note::FilledFromOrigin,
         4 => Note::Joined,
-        5 => Note::Old,
+        5 => Note::Stale,
         6 => Note::SourceRefused,
         7 => Note::SourceFailed,
-        8 => Note::SourceLacks,
-        9 => Note::NoFillPlace,
+        8 => Note::SourceMiss,
+        9 => Note::NoFillSlot,
         10 => Note::OriginFailed,
-        other => return Err(format!("detail {other} is unknown")),
+        other => return Err(format!("unknown detail {other}")),
     })
 }
 
-/// A reply under way.
+/// A reply frame that is being written.
 pub struct Reply {
     frame: Vec<u8>,
     count: u32,
@@ -284,12 +286,12 @@
 
 impl Reply {
     pub fn new(number: u32) -> Self {
-        let mut frame = vec![0; REPLY_HEAD];
+        let mut frame = vec![0; REPLY_HEADER];
         frame[8..12].copy_from_slice(&number.to_le_bytes());
         Reply { frame, count: 0, instance: None }
     }
 
-    /// Adds one instance's actions.
+    /// Appends the actions of one instance.
     pub fn extend(&mut self, instance: u16, actions: impl Iterator<Item = Action>) {
         for action in actions {
             if self.instance != Some(instance) {
@@ -327,8 +329,8 @@
                 put_node(out, source);
                 out.push(rank);
                 out.extend(age.to_le_bytes());
-                let FillOptions { join, held_only, no_parent_copy, renew } = options;
-                let bits = [join, held_only, no_parent_copy, renew];
+                let FillOptions { join, only_if_cached, no_parent_copy, revalidate } = options;
+                let bits = [join, only_if_cached, no_parent_copy, revalidate];
                 out.push(bits.iter().enumerate().map(|(i, &on)| u8::from(on) << i).sum());
             }),
             Action::Refuse { request, wait } => self.record(1, |out| {
@@ -340,13 +342,13 @@
                 out.extend(request.0.to_le_bytes());
                 out.extend(attempt.to_le_bytes());
             }),
-            Action::Alarm { token, after } => self.record(4, |out| {
+            Action::SetTimer { token, after } => self.record(4, |out| {
                 out.extend(token.to_le_bytes());
-                out.extend(after.min(TIMER_MOST).to_le_bytes());
+                out.extend(after.min(MAX_TIMER).to_le_bytes());
             }),
             Action::Probe { node } => self.record(5, |out| put_node(out, node)),
-            Action::Tell { to, content } => self.record(7, |out| {
-                out.extend(to.map_or(EVERYONE, |p| p.0).to_le_bytes());
+            Action::SendMessage { to, content } => self.record(7, |out| {
+                out.extend(to.map_or(ALL_PEERS, |p| p.0).to_le_bytes());
                 out.extend((content.len() as u16).to_le_bytes());
                 out.extend(content);
             }),
--- a/src/brain.rs
+++ b/src/brain.rs
@@ -1,150 +1,150 @@
-//! The policy: which edge cache gets an attempt, from where a miss is filled, when to move on, when to
-//! refuse. The types it speaks stand in `src/interface.rs`. Read it top-down: constants, state, the one
-//! entry point, then the ordinary path (beliefs, exclusion probabilities, cost rule), then the guards.
+//! The director: chooses the edge cache of an attempt and the source of a fill, and decides on retries and
+//! refusals. The types of its input and output are in `src/interface.rs`. "Work" is the transfer time of an
+//! answer at full pace, in seconds.
 
 use crate::interface::*;
-use crate::routing::{
-    Beliefs, COUNTS, Exclusion, Hearing, Pace, Pipe, Purges, RECHECK, STRETCHED, Sizes, Standstill, fade,
-    smooth,
-};
+use crate::routing::*;
 use crate::spread::*;
 use rustc_hash::FxHashMap;
 use std::collections::{BTreeMap, VecDeque};
 
-// ---- Tuned values: the mechanism ----
+// ---- Constants: the cost rule ----
 
 /// A belief older than this is dropped (seconds).
 const BELIEF_AGE: f64 = 30.0;
-/// Weight of one outcome in smoothed latencies.
-const SMOOTH: f64 = 1.0 / 20.0;
-/// The same for fills from above, of which each source sees few.
-const SMOOTH_FILL: f64 = 1.0 / 5.0;
-/// Its most, where the last was long ago.
-const FRESH: f64 = 0.5;
-/// For so long what was learned of a source holds; then it fades (seconds).
-const LAG_KEPT: f64 = 2.0;
-/// Latency of a hit beyond its sending time before anything is known (seconds).
-const BASE: f64 = 0.03;
-/// What a fill takes beyond a hit is counted per sending time plus this: a jam above slows large ones most.
-const FILL_BASE: f64 = 0.2;
-/// The miss penalty M where there is no tier above, and at most (seconds).
-const PENALTY_MOST: f64 = 5.0;
-/// Bytes over the thin link cost this share of their sending time, on top of the time that they take.
-const LINK_SHARE: f64 = 0.3;
-
-// ---- Tuned values: load ----
-
-/// Link of a cache in full-pace transfers before anything is known.
-const LINK_GUESS: f64 = 6.0;
-/// The zone's link in, for each of its caches, where it is not told.
-const LINK_IN_GUESS: f64 = 3.0;
-/// The same on the safe side, for cold nodes.
-const LINK_SAFE: f64 = 2.0;
-/// Holders slower than this multiple let one more cache into the choice (hot objects spread).
-const SPREAD_AT: f64 = 1.2;
-/// Refuse what would take more than this multiple of its aim: the first where a link is `CROWDED` times full
-/// or more, the second where it is just full, between them in proportion.
-const ADMIT: (f64, f64) = (0.9, 1.3);
-const CROWDED: f64 = 1.8;
-/// Of that, so much less where so many peers share the links. How busy they are is taken from the own
-/// transfers: the more peers, the rougher, and whoever takes a full link for an empty one fills it further
-/// for all.
-const UNSEEN: (f64, f64) = (0.17, 8.0);
-/// Mean sending time of a class before anything is known (seconds).
-const WORK_GUESS: f64 = 0.5;
-
-// ---- Tuned values: health ----
-
-/// A look at an attempt is taken after this multiple of its expected latency, plus this (seconds).
-const PATIENCE: (f64, f64) = (2.0, 0.3);
-/// An answer may be lost after this multiple of the latency of a miss, plus this (seconds): where a link is
+/// Weight of one outcome in a smoothed mean.
+const OUTCOME_WEIGHT: f64 = 1.0 / 20.0;
+/// Weight of one fill from the upper tier, of which each source sees few.
+const FILL_WEIGHT: f64 = 1.0 / 5.0;
+/// Greatest weight of one fill from the upper tier, where the last one was long ago.
+const MAX_FILL_WEIGHT: f64 = 0.5;
+/// A source's learned latency counts in full for this long, and fades after that (seconds).
+const FILL_LATENCY_HOLD: f64 = 2.0;
+/// Initial latency of a hit beyond its work (seconds).
+const INITIAL_LATENCY: f64 = 0.03;
+/// The extra time of a fill is learned per work plus this (seconds): congestion delays large ones most.
+const FILL_BASE_TIME: f64 = 0.2;
+/// Greatest miss penalty M, and the one where no upper tier is usable (seconds).
+const MAX_MISS_PENALTY: f64 = 5.0;
+/// Cost of bytes over the thin link, as a share of their work, on top of the time that they take.
+const ZONE_LINK_COST: f64 = 0.3;
+
+// ---- Constants: load ----
+
+/// Initial estimate of a cache's link, in transfers at full pace.
+const INITIAL_CACHE_LINK: f64 = 6.0;
+/// Initial estimate of the link into the zone for each of its caches, where its rate is unknown.
+const INITIAL_ZONE_LINK: f64 = 3.0;
+/// Smallest estimate of a cold node's link, on the safe side.
+const MIN_COLD_LINK: f64 = 2.0;
+/// One more cache joins the choice where all candidates are slower than this multiple (spreads hot objects).
+const SPREAD_SLOWDOWN: f64 = 1.2;
+/// What would take more than this multiple of its aim is refused: the first where a link is
+/// `CROWDED_SLOWDOWN` times full or more, the second where it is just full, linear in between.
+const ADMIT_CROWDED: f64 = 0.9;
+const ADMIT_JUST_FULL: f64 = 1.3;
+const CROWDED_SLOWDOWN: f64 = 1.8;
+/// The admission limit shrinks by this share where so many peers share the links. Their load is inferred from
+/// the own transfers, roughly where there are many; a full link taken for an empty one is filled further.
+const PEER_UNCERTAINTY: f64 = 0.17;
+const UNCERTAIN_PEERS: f64 = 8.0;
+/// Initial mean work of a class (seconds).
+const INITIAL_WORK: f64 = 0.5;
+
+// ---- Constants: health ----
+
+/// An attempt is checked after this multiple of its expected latency, plus this margin (seconds).
+const PATIENCE_FACTOR: f64 = 2.0;
+const PATIENCE_MARGIN: f64 = 0.3;
+/// An answer may be lost after this multiple of a miss's latency, plus this margin (seconds): where a link is
 /// full; where none is (none of 13,000 good answers took so long); and at a first attempt while answers get
-/// lost, where a hit is expected of its latency (0.1 to 0.3% of good ones take so long).
-const LOST: [(f64, f64); 3] = [(2.0, 0.3), (1.5, 0.1), (1.25, 0.08)];
-/// So often a verdict waits by `RECHECK` for what a silence held up: no lost answer waits for ever.
-const SPARED_MOST: u8 = 3;
-/// Answers get lost where more than this share of them was lately.
-const LOSING: f64 = 0.005;
-/// Timers are set for the time at which something is due, and may fire this much before it (seconds).
-const EARLY: f64 = 0.001;
-/// A blamed node gets one trial after this time, twice as long after each failure (seconds, least and most).
-const TRIAL: (f64, f64) = (0.4, 3.0);
-/// Failed attempts in a row that blame a node when none of them is proof alone.
-const STRIKES: u32 = 3;
-/// Parents drawn until one is fit, two at least.
-const DRAWS: u64 = 8;
-/// So many of the first draws are among the parents of the own hub: each hub on the way costs time and bytes.
-const NEAR_DRAWS: u64 = 2;
-/// One of another hub is asked where those of the own are slower than it by this (as their lag counts): all
-/// fronts of a hub that has few parents left lean on the same ones.
-const FAR: f64 = 0.2;
-/// So many times what the origin answers may be asked of it; more only while it answers.
-const ORIGIN_SPARE: f64 = 2.0;
+/// lost, where a believed holder is measured by the latency of a hit (0.1 to 0.3% of good ones take so long).
+const LOST_AFTER: [(f64, f64); 3] = [(2.0, 0.3), (1.5, 0.1), (1.25, 0.08)];
+/// Most deferrals of a verdict for answers that a stall held up: no lost answer waits for ever.
+const MAX_DEFERRALS: u8 = 3;
+/// Answers count as getting lost where more than this share of the recent ones was.
+const LOSS_RATIO: f64 = 0.005;
+/// A timer may fire this much before the time that it was set for (seconds).
+const TIMER_TOLERANCE: f64 = 0.001;
+/// An ejected node gets a trial after this pause, which doubles with each failure up to a limit (seconds).
+const MIN_EJECTION: f64 = 0.4;
+const MAX_EJECTION: f64 = 3.0;
+/// Consecutive failed attempts that eject a node when none of them is proof alone.
+const EJECTION_FAILURES: u32 = 3;
+/// Parents are drawn until one is usable, at least two and at most this many.
+const MAX_PARENT_DRAWS: u64 = 8;
+/// The first draws, which are among the parents of the own hub: each hub on the way costs time and bytes.
+const OWN_HUB_DRAWS: u64 = 2;
+/// A parent of another hub is used where those of the own are slower by this (in fill latency): all fronts of
+/// a hub that has few parents left depend on the same ones.
+const FAR_HUB_PENALTY: f64 = 0.2;
+/// Fills may ask this multiple of what the origin answers of it; more only while it answers.
+const ORIGIN_HEADROOM: f64 = 2.0;
 /// A node that is not listed is forgotten after this (seconds): longer than a belief or an attempt lasts.
-const FORGET: f64 = 2.0 * BELIEF_AGE;
-/// Resets so close together are one sign: a connection takes with it all that is out on it (seconds).
-const AT_ONCE: f64 = 0.05;
+const NODE_RETENTION: f64 = 2.0 * BELIEF_AGE;
+/// Resets within this time are one sign (seconds): a connection takes all its attempts with it.
+const RESET_WINDOW: f64 = 0.05;
 /// Most attempts for one request.
-const TRIES: usize = 4;
-/// Purges are heeded this long past the time in which caches settle, and copies are to be this much younger:
-/// what left the origin just before a purge may be stamped just after (seconds).
+const MAX_ATTEMPTS: usize = 4;
+/// A purge is applied this long past the time in which caches settle, and copies must be this much younger
+/// (seconds): what left the origin just before a purge may be stamped just after.
 const PURGE_MARGIN: f64 = 0.5;
-/// The least age limit; 0 would mean none.
-const AGE_LEAST: f64 = 0.001;
-/// Rank at which a first copy is kept, one more once believed held: once-only objects push out nothing used.
-const RANK: u8 = 1;
+/// Least age limit of a copy (seconds); 0 would mean no limit.
+const MIN_AGE_LIMIT: f64 = 0.001;
+/// Rank of a first copy, one more where a holder is believed: objects requested once evict nothing in use.
+const FIRST_COPY_RANK: u8 = 1;
 
 // ---- State ----
 
-/// A cache node as this director sees it.
+/// What this director knows of a cache node.
 #[derive(Default)]
-struct Known {
+struct NodeRecord {
     info: Node,
     listed: bool,
-    /// Its link beside the mean one of its zone, as far as weights tell.
+    /// Its link relative to the mean one of its zone, as far as weights tell.
     size: f64,
-    /// Attempts of this director that are out.
-    out: f64,
-    /// Smoothed latency beyond the sending time; at a parent or the origin: what its fills take
-    /// beyond hits, by the sending time plus `FILL_BASE`. When it was learned.
-    lag: f64,
-    lag_at: f64,
-    pace: Pace,
-    /// What this director sent it lately.
-    own: Share,
-    hearing: Hearing,
-    /// When the newest attempt went that it has answered.
-    answered: f64,
-    /// When it was last listed.
-    seen: f64,
-    strikes: u32,
-    struck: f64,
-    /// Set while blamed: when the next trial may go out, and the pause after that.
-    blamed: Option<(f64, f64)>,
-    /// Work that it was sent in the last window of the cold rule, kept while it is cold.
-    sent: VecDeque<(f64, f64)>,
+    /// Attempts of this director that are in flight there.
+    in_flight: f64,
+    /// Smoothed latency beyond the work; at a parent or the origin, what its fills take beyond hits, per work
+    /// plus `FILL_BASE_TIME`; and when it was learned.
+    latency: f64,
+    latency_at: f64,
+    pace: CachePace,
+    /// What this director sent it recently.
+    recent_work: RecentWork,
+    stalls: NodeStalls,
+    /// When the newest attempt was sent that it has answered.
+    newest_answered: f64,
+    last_listed: f64,
+    consecutive_failures: u32,
+    last_reset: f64,
+    /// While it is ejected: when the next trial may be sent, and the pause after that.
+    ejected: Option<(f64, f64)>,
+    /// Times and work of attempts in the last overload window, kept while it is warming.
+    warming_work: VecDeque<(f64, f64)>,
 }
 
 #[derive(Clone, Copy, Default)]
 struct Attempt {
     choice: Choice,
     sent_at: f64,
-    /// When it is looked at next, and how often that was put off for a silence.
-    look_at: f64,
-    spared: u8,
-    /// Transfers of all directors at the node, and over the zone's link, when it went.
-    then: (f64, f64),
-    out: bool,
+    /// When it is checked next, and how often that was deferred for a stall.
+    check_at: f64,
+    deferrals: u8,
+    /// Transfers of all directors at the node, and over the zone's link, when it was sent.
+    node_load: f64,
+    zone_load: f64,
+    in_flight: bool,
     cancelled: bool,
-    dropped: bool,
+    abandoned: bool,
     streaming: bool,
     never_ran: bool,
 }
 
 #[derive(Default)]
-struct Open {
+struct OpenRequest {
     request: Request,
-    came: f64,
+    arrived_at: f64,
     attempts: Vec<Attempt>,
     avoid: Vec<NodeId>,
     done: bool,
@@ -155,426 +155,424 @@
 struct Choice {
     node: NodeId,
     source: NodeId,
-    /// The source is a sibling; the source is to give only what it holds (siblings always).
+    /// The source is a sibling; the source is to answer from its own copy only (siblings always).
     sibling: bool,
-    held_only: bool,
-    n: usize,
+    only_if_cached: bool,
+    /// Believed holders, as an index of the exclusion probabilities.
+    holders: usize,
     believed: bool,
-    /// Chance that the node lacks the object, so that the source has work with it.
+    /// Probability that the node lacks the object, so that the source has work with it.
     absent: f64,
     cost: f64,
-    why: RoutingReason,
+    reason: RoutingReason,
     latency: f64,
-    /// The slowdown expected of the node, and the latency if it turns out to lack the object.
-    stretch: f64,
-    worst: f64,
+    /// The expected slowdown at the node, and the latency if it turns out to lack the object.
+    slowdown: f64,
+    miss_latency: f64,
 }
 
-/// Decides for one front. Same seed, settings and events give the same actions.
+/// Makes the decisions of one front. The same seed, settings and events give the same actions.
 pub struct Director {
     settings: Settings,
     rng: fastrand::Rng,
-    nodes: BTreeMap<NodeId, Known>,
+    nodes: BTreeMap<NodeId, NodeRecord>,
     edges: Vec<NodeId>,
-    parents: Ring,
+    parents: ParentRing,
     origin: Option<NodeId>,
-    /// When the event came that is handled.
+    /// The time of the event that is being handled.
     now: f64,
-    open: FxHashMap<RequestId, Open>,
-    /// Edge caches seen to hold an object's part, and when.
-    held: Beliefs,
-    /// When an object or group was purged, and when this director heard.
+    open: FxHashMap<RequestId, OpenRequest>,
+    beliefs: Beliefs,
     purges: Purges,
-    /// Which objects are hot, and why caches were chosen.
-    heat: Heat,
+    popularity: PopularitySketch,
     reasons: ReasonCounts,
-    /// Mean sending time by class.
-    work: Vec<f64>,
-    /// Answers that told a class's sending time, where sizes are untold, and who is refused by size.
-    hits: Vec<f64>,
-    sizes: Vec<Sizes>,
-    /// How often caches lack what they are asked for.
+    /// By class: its mean work, the answers behind it where sizes are unknown, and its refusals by size.
+    class_work: Vec<f64>,
+    class_samples: Vec<f64>,
+    fairness: Vec<SizeFairness>,
     exclusion: Exclusion,
-    /// Fills that the origin answered, and all that are known to have come to it; fading, and when counted.
-    origin_calls: [(f64, f64); 2],
-    /// Answers that were lost, and those that came; fading, and when counted.
-    losses: [(f64, f64); 2],
+    /// Fills that the origin answered, and all that are known to have reached it.
+    origin_answered: FadingCount,
+    origin_asked: FadingCount,
+    answers_lost: FadingCount,
+    answers_received: FadingCount,
     /// Smoothed extra latency of a fill from a sibling.
-    sibling_extra: f64,
-    /// The zone's link in, with the fills that are out, and the tiers: its edge caches and all parents.
-    link_in: Pipe,
-    caches: Pipe,
-    above: Pipe,
+    sibling_latency: f64,
+    /// The link into the zone with its fills, and the two tiers: the zone's edge caches and all parents.
+    zone_link: SharedLink,
+    edge_links: SharedLink,
+    parent_links: SharedLink,
     last_answer: f64,
-    /// Whether this front stood still.
-    standstill: Standstill,
+    stalls: FrontStalls,
 }
 
 impl Director {
-    /// A director that knows nothing but its settings.
+    /// Creates a director that knows nothing but its settings.
     pub fn new(seed: u64, settings: Settings) -> Self {
         let zone = usize::from(settings.own_zone.0);
-        let told = settings
-            .zone_link
-            .get(zone)
-            .filter(|&&l| l > 0.0 && settings.flow > 0.0)
-            .map(|l| l / settings.flow);
-        let work = vec![WORK_GUESS; settings.classes.len()];
+        let rate = settings.zone_link_kb_per_s.get(zone).filter(|&&rate| rate > 0.0);
+        let rate = rate.filter(|_| settings.answer_kb_per_s > 0.0);
+        let zone_link = rate.map(|rate| rate / settings.answer_kb_per_s);
+        let class_work = vec![INITIAL_WORK; settings.classes.len()];
         Director {
             settings,
             rng: fastrand::Rng::with_seed(seed),
             nodes: BTreeMap::new(),
             edges: Vec::new(),
-            parents: Ring::default(),
+            parents: ParentRing::default(),
             origin: None,
             now: 0.0,
             open: FxHashMap::default(),
-            held: Beliefs::new(seed, BELIEF_AGE),
+            beliefs: Beliefs::new(seed, BELIEF_AGE),
             purges: Purges::default(),
-            heat: Heat::default(),
+            popularity: PopularitySketch::default(),
             reasons: ReasonCounts::default(),
-            hits: vec![0.0; work.len()],
-            sizes: vec![Sizes::default(); work.len()],
-            work,
+            class_samples: vec![0.0; class_work.len()],
+            fairness: vec![SizeFairness::default(); class_work.len()],
+            class_work,
             exclusion: Exclusion::default(),
-            origin_calls: [(0.0, 0.0); 2],
-            losses: [(0.0, 0.0); 2],
-            sibling_extra: BASE,
-            link_in: Pipe::new(told.unwrap_or(0.0), told.is_some()),
-            caches: Pipe::new(LINK_GUESS, false),
-            above: Pipe::default(),
+            origin_answered: FadingCount::default(),
+            origin_asked: FadingCount::default(),
+            answers_lost: FadingCount::default(),
+            answers_received: FadingCount::default(),
+            sibling_latency: INITIAL_LATENCY,
+            zone_link: SharedLink::new(zone_link.unwrap_or(0.0), zone_link.is_some()),
+            edge_links: SharedLink::new(INITIAL_CACHE_LINK, false),
+            parent_links: SharedLink::default(),
             last_answer: 0.0,
-            standstill: Standstill::default(),
+            stalls: FrontStalls::default(),
         }
     }
 
-    /// The settings given at start.
+    /// Returns the settings that it was created with.
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
 
-    /// Bytes of what was learned but the beliefs, and what these would like to take in all.
+    /// Returns the bytes of all it has learned but the beliefs, and the bytes that the beliefs ask for.
     pub fn footprint(&self) -> (usize, usize) {
-        let nodes = self.nodes.len() * 2 * size_of::<Known>() + self.parents.footprint();
-        (nodes + self.purges.footprint() + self.heat.footprint(), self.held.wanted())
+        let nodes = self.nodes.len() * 2 * size_of::<NodeRecord>() + self.parents.footprint();
+        (nodes + self.purges.footprint() + self.popularity.footprint(), self.beliefs.wanted_bytes())
     }
 
-    /// Beliefs may take so many bytes from now on; what is over that is forgotten, oldest first.
-    pub fn hold_to(&mut self, bytes: usize) {
-        self.held.hold_to(bytes);
+    /// Limits the memory of the beliefs; the oldest beyond the limit are dropped.
+    pub fn set_memory_limit(&mut self, bytes: usize) {
+        self.beliefs.set_memory_limit(bytes);
     }
 
-    /// How many nodes it remembers.
-    pub fn known_nodes(&self) -> usize {
+    /// Returns the number of nodes that it has a record of.
+    pub fn node_count(&self) -> usize {
         self.nodes.len()
     }
 
-    /// Why caches were chosen.
+    /// Returns how many attempts were routed for each reason.
     pub fn reason_counts(&self) -> &ReasonCounts {
         &self.reasons
     }
 
-    /// Does it keep away from a node now, having blamed it?
-    pub fn avoids(&self, now: f64, id: NodeId) -> bool {
-        self.nodes.get(&id).is_some_and(|k| k.blamed.is_some_and(|(trial, _)| now < trial))
+    /// Returns whether a node is ejected and its next trial is not yet due.
+    pub fn is_ejected(&self, now: f64, id: NodeId) -> bool {
+        self.nodes.get(&id).is_some_and(|k| k.ejected.is_some_and(|(trial, _)| now < trial))
     }
 
-    /// Takes one event and appends what is to be done.
+    /// Handles one event and appends the resulting actions.
     pub fn handle(&mut self, now: f64, event: Event, actions: &mut Vec<Action>) {
         self.now = now;
-        self.standstill.event(now, matches!(event, Event::Alarm { .. }));
+        self.stalls.record_event(now, matches!(event, Event::TimerFired { .. }));
         match event {
-            Event::List { kind, nodes } => self.list(now, kind, &nodes, actions),
+            Event::List { kind, nodes } => self.update_list(now, kind, &nodes, actions),
             Event::Request(request) => {
                 if usize::from(request.class.0) >= self.settings.classes.len() {
                     return actions.push(Action::Fail { request: request.id });
                 }
-                if let Some(sending) = self.settings.sending(request.kb) {
-                    smooth(&mut self.work[usize::from(request.class.0)], sending, SMOOTH);
+                if let Some(work) = self.settings.transfer_time(request.kb) {
+                    smooth(&mut self.class_work[usize::from(request.class.0)], work, OUTCOME_WEIGHT);
                 }
-                self.heat.saw(now, request.object, request.part, self.sending(&request));
-                let open = Open { request, came: now, ..Open::default() };
+                self.popularity.record(now, request.object, request.part, self.work(&request));
+                let open = OpenRequest { request, arrived_at: now, ..OpenRequest::default() };
                 self.open.insert(request.id, open);
                 self.decide(now, request.id, actions);
             }
             Event::Streaming { request, attempt } => {
-                let attempts = self.open.get_mut(&request).map(|o| &mut o.attempts);
+                let attempts = self.open.get_mut(&request).map(|p| &mut p.attempts);
                 if let Some(a) = attempts.and_then(|a| a.get_mut(usize::from(attempt))) {
                     a.streaming = true;
                 }
             }
             Event::AttemptEnd { request, attempt, outcome, took, done, note, source_wait, .. } => {
-                let end = End { outcome, took, done, note, source_wait };
-                self.attempt_end(now, request, attempt, end, actions);
+                let end = AttemptEnd { outcome, took, done, note, source_wait };
+                self.end_attempt(request, attempt, end, actions);
             }
             Event::Expired { request } => self.finish(request),
-            Event::Alarm { token } => self.look(now, token, actions),
-            Event::Purged { object, group, age } => self.purged(now, object, group, age),
-            Event::Probed { .. } | Event::Message { .. } => {}
+            Event::TimerFired { token } => self.check_attempt(now, token, actions),
+            Event::Purged { object, group, age } => self.record_purge(now, object, group, age),
+            Event::ProbeEnd { .. } | Event::Message { .. } => {}
         }
     }
 
-    /// Transfers of all directors at one cache. Clients are spread over a zone's directors: each peer has as
-    /// many out as this one has in the mean; what it sees at a single cache is too little to go by.
-    fn transfers(&self, k: &Known) -> f64 {
-        k.out
-            + (self.settings.sharers() - 1.0) * self.caches.peers() * k.size / self.edges.len().max(1) as f64
+    // ---- Load estimates ----
+
+    /// Returns the transfers of all directors at one cache. Clients are spread over a zone's directors: each
+    /// peer is taken to have the mean of this one, which sees too little of a single cache to go by.
+    fn transfers(&self, k: &NodeRecord) -> f64 {
+        k.in_flight
+            + (self.settings.own_zone_directors() - 1.0) * self.edge_links.mean_per_peer() * k.size
+                / self.edges.len().max(1) as f64
     }
 
-    /// Expected slowdown of one more transfer from a cache, and over the link in.
-    fn stretch(&self, k: &Known) -> f64 {
-        self.crowding(k) * self.pace(k)
+    /// Returns the expected slowdown of one more transfer from a cache.
+    fn slowdown(&self, k: &NodeRecord) -> f64 {
+        self.crowding(k) * self.relative_pace(k)
     }
 
-    /// The slowdown expected of a cache, and the part of it that its load explains.
-    fn loaded(&self, id: NodeId) -> Option<(f64, f64)> {
+    /// Returns the slowdown expected of a cache, and the part of it that its load explains.
+    fn slowdown_and_crowding(&self, id: NodeId) -> Option<(f64, f64)> {
         let k = self.nodes.get(&id)?;
         let crowding = self.crowding(k);
-        Some((crowding * self.pace(k), crowding))
+        Some((crowding * self.relative_pace(k), crowding))
     }
 
-    fn crowding(&self, k: &Known) -> f64 {
-        ((self.transfers(k) + k.size) / (self.caches.fits * k.size)).max(1.0)
+    fn crowding(&self, k: &NodeRecord) -> f64 {
+        ((self.transfers(k) + k.size) / (self.edge_links.capacity * k.size)).max(1.0)
     }
 
-    /// How much slower a cache is than the others of its zone, beyond what its load explains. A front sees
-    /// too few answers of each for more than sums, which fade, so that a slow one is tried again.
-    fn pace(&self, k: &Known) -> f64 {
+    /// Returns how much slower a cache is than the others of its zone, beyond what its load explains. A front
+    /// sees few answers of each, so that sums are compared; they fade, and a slow cache is tried again.
+    fn relative_pace(&self, k: &NodeRecord) -> f64 {
         let others = self.edges.iter().filter(|e| **e != k.info.id).map(|e| &self.nodes[e].pace);
-        k.pace.against(self.now, others)
+        k.pace.relative_to(self.now, others)
     }
 
-    fn jam(&self) -> f64 {
-        ((self.fills() + 1.0) / self.link_in.fits.max(1.0)).max(1.0)
+    /// Returns the expected slowdown of one more fill over the zone's link.
+    fn zone_slowdown(&self) -> f64 {
+        ((self.zone_transfers() + 1.0) / self.zone_link.capacity.max(1.0)).max(1.0)
     }
 
-    /// Fills of all directors over the link in.
-    fn fills(&self) -> f64 {
-        self.link_in.out + (self.settings.sharers() - 1.0) * self.link_in.peers()
+    /// Returns the fills of all directors over the zone's link.
+    fn zone_transfers(&self) -> f64 {
+        self.zone_link.in_flight + (self.settings.own_zone_directors() - 1.0) * self.zone_link.mean_per_peer()
     }
 
     // ---- The list of nodes ----
 
-    fn list(&mut self, now: f64, kind: ListKind, nodes: &[Node], actions: &mut Vec<Action>) {
+    fn update_list(&mut self, now: f64, kind: ListKind, nodes: &[Node], actions: &mut Vec<Action>) {
         if kind == ListKind::Failed || (kind == ListKind::Cached && self.settings.list_on_request) {
             actions.push(Action::Watch { on: true });
         }
         if matches!(kind, ListKind::Full | ListKind::Cached) {
-            // Absent from a full list means gone.
+            // What a complete list does not contain has gone.
             self.nodes.values_mut().for_each(|k| k.listed = false);
         }
-        // What comes new is no emptier than the others, or else all that is free to choose would go there.
-        let own: f64 = self.edges.iter().filter_map(|e| Some(self.nodes.get(e)?.own.by(now))).sum();
-        let (level, me) = (Share::level(now, own / self.edges.len().max(1) as f64), self.settings.me);
+        // A new node starts with the mean recent work: with none, it would draw all that is free to choose.
+        let own: f64 =
+            self.edges.iter().filter_map(|e| Some(self.nodes.get(e)?.recent_work.decayed(now))).sum();
+        let recent_work = RecentWork::new(now, own / self.edges.len().max(1) as f64);
+        let me = self.settings.director_number;
         for info in nodes {
-            let known =
-                self.nodes.entry(info.id).or_insert_with(|| Known { own: level, ..Known::new(*info, me) });
-            if known.info.ready_at != info.ready_at {
-                // A new start: an empty cache, and a process that owes nothing of the old one's record.
-                *known = Known { out: known.out, own: level, ..Known::new(*info, me) };
+            let new = || NodeRecord { recent_work, ..NodeRecord::new(*info, me) };
+            let k = self.nodes.entry(info.id).or_insert_with(new);
+            if k.info.ready_at != info.ready_at {
+                // It was restarted: its cache is empty, and its process has nothing of the old one's record.
+                *k = NodeRecord { in_flight: k.in_flight, ..new() };
             }
-            known.info = *info;
-            known.listed = info.state == NodeState::Ready;
+            k.info = *info;
+            k.listed = info.state == NodeState::Ready;
         }
         // Nodes that left are forgotten once no belief and no attempt can name them.
-        self.nodes.values_mut().filter(|k| k.listed).for_each(|k| k.seen = now);
-        self.nodes.retain(|_, k| k.listed || k.seen + FORGET > now);
+        self.nodes.values_mut().filter(|k| k.listed).for_each(|k| k.last_listed = now);
+        self.nodes.retain(|_, k| k.listed || k.last_listed + NODE_RETENTION > now);
         let (parent_kind, origin_kind) = (self.settings.parent_kind, self.settings.origin_kind);
         let listed = || self.nodes.values().filter(|k| k.listed).map(|k| k.info);
         self.origin = listed().find(|n| n.kind == origin_kind).map(|n| n.id);
         let hub = self.settings.hub_of_zone.get(usize::from(self.settings.own_zone.0));
         let parents = listed().filter(|n| Some(n.kind) == parent_kind);
-        self.parents = Ring::new(parents.map(|n| (n.id, Some(&n.zone) == hub)));
+        self.parents = ParentRing::new(parents.map(|n| (n.id, Some(&n.zone) == hub)));
         let own = self.settings.own_zone;
         let edge = |n: &Node| Some(n.kind) != parent_kind && n.kind != origin_kind && n.zone == own;
         self.edges = listed().filter(edge).map(|n| n.id).collect();
-        // Where weights tell the links, the mean one is known from the start.
-        if self.settings.weights_told && !self.edges.is_empty() {
+        // Where weights are link sizes, the mean link is known from the start.
+        if self.settings.weights_are_link_sizes && !self.edges.is_empty() {
             let sum: f64 = self.edges.iter().map(|e| self.nodes[e].info.weight).sum();
             let mean = sum / self.edges.len() as f64;
-            let sized = |k: &mut Known| k.size = (k.info.weight / mean.max(1e-9)).max(0.01);
-            self.edges.iter().for_each(|e| self.nodes.get_mut(e).map_or((), sized));
-            self.caches.told = true;
+            let set_size = |k: &mut NodeRecord| k.size = (k.info.weight / mean.max(1e-9)).max(0.01);
+            self.edges.iter().for_each(|e| self.nodes.get_mut(e).map_or((), set_size));
+            self.edge_links.known = true;
             if kind == ListKind::Cached {
-                self.caches.fits = mean;
+                self.edge_links.capacity = mean;
             }
         }
-        if self.link_in.fits == 0.0 {
-            self.link_in.fits = LINK_IN_GUESS * self.edges.len() as f64;
+        if self.zone_link.capacity == 0.0 {
+            self.zone_link.capacity = INITIAL_ZONE_LINK * self.edges.len() as f64;
         }
     }
 
-    // ---- Purges ----
+    // ---- Purges and beliefs ----
 
-    fn purged(&mut self, now: f64, object: Option<ObjectId>, group: GroupId, age: f64) {
-        let keep = BELIEF_AGE.max(self.settings.purge_settles + PURGE_MARGIN);
-        self.purges.heard(now, object.ok_or(group), now - age.max(0.0), keep);
+    fn record_purge(&mut self, now: f64, object: Option<ObjectId>, group: GroupId, age: f64) {
+        let keep = BELIEF_AGE.max(self.settings.purge_settle_time + PURGE_MARGIN);
+        self.purges.record(now, object.ok_or(group), now - age.max(0.0), keep);
     }
 
-    /// Oldest age allowed by purges, while caches may still hold copies from before.
+    /// Returns the greatest age of a copy that purges allow, while caches may still hold copies from before.
     fn purge_limit(&self, now: f64, request: &Request) -> Option<f64> {
-        let (at, _) = self.purges.of(request.object, request.group)?;
-        let settled = at + self.settings.purge_settles + PURGE_MARGIN;
-        (now < settled).then(|| (now - at - PURGE_MARGIN).max(AGE_LEAST))
+        let purged_at = self.purges.latest(request.object, request.group)?.at;
+        let settled = purged_at + self.settings.purge_settle_time + PURGE_MARGIN;
+        (now < settled).then(|| (now - purged_at - PURGE_MARGIN).max(MIN_AGE_LIMIT))
     }
 
-    // ---- Beliefs: which edge caches were seen to hold an object's part ----
-
-    /// Believed holders that can take part now.
+    /// Returns the listed edge caches that were seen to hold the object's part.
     fn holders(&self, now: f64, request: &Request) -> Vec<NodeId> {
-        let heard = self.purges.of(request.object, request.group).map_or(f64::MIN, |f| f.1);
+        let purged = self.purges.latest(request.object, request.group).map_or(f64::MIN, |p| p.learned_at);
         let mut holders = Vec::new();
-        self.held.each(request.object, request.part, |id, at| {
-            let known = self.nodes.get(&id).filter(|k| k.listed);
-            if at > heard && at + BELIEF_AGE > now && known.is_some_and(|k| at > k.info.ready_at) {
+        self.beliefs.for_each_holder(request.object, request.part, |id, at| {
+            let k = self.nodes.get(&id).filter(|k| k.listed);
+            if at > purged && at + BELIEF_AGE > now && k.is_some_and(|k| at > k.info.ready_at) {
                 holders.push(id);
             }
         });
         holders
     }
 
-    // ---- Costs ----
+    // ---- The cost rule ----
 
-    /// Sending time at full pace, from the size or else the class's mean.
-    fn sending(&self, request: &Request) -> f64 {
-        self.settings.sending(request.kb).unwrap_or(self.work[usize::from(request.class.0)])
+    /// Returns the work of a request, from its size or else the mean of its class.
+    fn work(&self, request: &Request) -> f64 {
+        self.settings.transfer_time(request.kb).unwrap_or(self.class_work[usize::from(request.class.0)])
     }
 
     fn class(&self, request: &Request) -> &Class {
         &self.settings.classes[usize::from(request.class.0)]
     }
-    /// The cheapest way to answer, by the cost rule; none if no edge cache can take it.
+
+    /// Returns the cheapest way to answer, if an edge cache can take it.
     fn choose(&mut self, now: f64, id: RequestId) -> Option<Choice> {
         let request = self.open[&id].request;
-        let sending = self.sending(&request);
-        let mean = self.work[usize::from(request.class.0)];
-        let never_kept = self.class(&request).never_kept;
-        // Exception, sparing: while the origin fails most that comes to it, only so many fills may go there
-        // as it has answered lately and once more; for the others the parent gives what it holds. Guards
-        // against a crowded origin that answers nobody, fed by tries that fail (tariff's grown big-1).
-        let [answered, asked] = self.origin_calls.map(|c| c.0 * fade(c.1, now));
-        let sparing = self.rng.f64() > (ORIGIN_SPARE * answered + 1.0) / (asked + 1.0);
-        let upper = self.upper(now, id, mean).filter(|&u| !sparing || Some(u) != self.origin);
+        let work = self.work(&request);
+        let mean_work = self.class_work[usize::from(request.class.0)];
+        let uncacheable = self.class(&request).uncacheable;
+        // Origin protection: while the origin fails most of what reaches it, only a multiple of what it has
+        // answered recently, and one more, may go there; for others the parent answers from its own copy.
+        // Otherwise retries keep a crowded origin busy, and it answers nobody (tariff's grown big-1).
+        let (answered, asked) = (self.origin_answered.value(now), self.origin_asked.value(now));
+        let sparing = self.rng.f64() > (ORIGIN_HEADROOM * answered + 1.0) / (asked + 1.0);
+        let upper = self.upper(now, id, mean_work).filter(|&u| !sparing || Some(u) != self.origin);
         let open = &self.open[&id];
-        let fit = |e: NodeId| self.fit(now, open, e, mean);
-        let takes = |e: &NodeId| fit(*e) && self.may_send(now, open, &self.nodes[e].info);
-        let usable: Vec<NodeId> = self.edges.iter().copied().filter(takes).collect();
-        // Rendezvous order of the object: the same at all directors of a zone. A hot one has several homes,
-        // and what leaves no copy has all.
-        let count = match never_kept {
-            true => usable.len(),
-            false => self.heat.homes(now, request.object, request.part, sending, self.edges.len()),
+        let usable = |e: NodeId| self.is_usable(now, open, e, mean_work);
+        let takes = |e: &NodeId| usable(*e) && self.may_send(now, open, &self.nodes[e].info);
+        let takers: Vec<NodeId> = self.edges.iter().copied().filter(takes).collect();
+        // The rendezvous order is the same at all directors of a zone. A hot object has several homes, and
+        // what leaves no copy has all.
+        let count = match uncacheable {
+            true => takers.len(),
+            false => self.popularity.home_count(now, request.object, request.part, work, self.edges.len()),
         };
-        let start = Cold::of(&self.settings, false);
-        let home = |&node: &NodeId| Home { node, weight: self.nodes[&node].size };
-        let homes = Homes::new(request.object.0, count, usable.iter().map(home));
-        let drawn = request.object.0 ^ u64::from(self.settings.me) << 48;
-        let hashed = homes.pick(count, drawn, |home| self.load(now, &start, home));
+        let start = SlowStart::from_settings(&self.settings, false);
+        let home = |&node: &NodeId| WeightedCache { node, weight: self.nodes[&node].size };
+        let homes = RendezvousOrder::new(request.object.0, count, takers.iter().map(home));
+        let seed = request.object.0 ^ u64::from(self.settings.director_number) << 48;
+        let hashed = homes.pick(count, seed, |home| self.relative_load(now, &start, home));
         let holders = self.holders(now, &request);
-        let n = holders.len().min(COUNTS - 1);
-        // A hot one is at all its homes, whichever of them this director saw it at.
-        let believed = holders.iter().copied().filter(|h| count == 1 && usable.contains(h));
-        let stretched = |n: NodeId| (n, self.stretch(&self.nodes[&n]));
-        let mut candidates: Vec<(NodeId, f64)> = believed.map(stretched).collect();
+        let n = holders.len().min(HOLDER_COUNTS - 1);
+        // A hot object is at all its homes, whichever of them this director saw it at.
+        let believed = holders.iter().copied().filter(|h| count == 1 && takers.contains(h));
+        let with_slowdown = |n: NodeId| (n, self.slowdown(&self.nodes[&n]));
+        let mut candidates: Vec<(NodeId, f64)> = believed.map(with_slowdown).collect();
         let among = |all: &[(NodeId, f64)], n: NodeId| all.iter().any(|c| c.0 == n);
-        candidates.extend(hashed.filter(|&h| !among(&candidates, h)).map(stretched));
-        // Exception, spreading: where every candidate's link is full, the next by hash joins the choice.
-        if candidates.iter().all(|c| c.1 > SPREAD_AT) {
-            let next = hashed.and_then(|h| homes.other(h)).filter(|&h| !among(&candidates, h));
-            candidates.extend(next.map(stretched));
-        }
-        // Miss penalty M: what a fill from above takes beyond a hit, and what it takes of the link in.
-        let jam = self.jam() - 1.0;
-        let extra = upper.map_or(PENALTY_MOST, |u| self.nodes[&u].fill_lag(now) * (sending + FILL_BASE));
-        let penalty = (extra + sending * (jam + LINK_SHARE)).min(PENALTY_MOST);
-        let siblings = self.settings.sources != SiblingScope::None && !never_kept;
+        candidates.extend(hashed.filter(|&h| !among(&candidates, h)).map(with_slowdown));
+        // Spreading: where every candidate's link is full, the next cache by hash joins the choice.
+        if candidates.iter().all(|c| c.1 > SPREAD_SLOWDOWN) {
+            let next = hashed.and_then(|h| homes.first_except(h)).filter(|&h| !among(&candidates, h));
+            candidates.extend(next.map(with_slowdown));
+        }
+        // Miss penalty M: what a fill from above takes beyond a hit, and its cost on the zone's link.
+        let delay = self.zone_slowdown() - 1.0;
+        let extra =
+            upper.map_or(MAX_MISS_PENALTY, |u| self.nodes[&u].fill_latency(now) * (work + FILL_BASE_TIME));
+        let penalty = (extra + work * (delay + ZONE_LINK_COST)).min(MAX_MISS_PENALTY);
+        let siblings = self.settings.sibling_sources != SiblingScope::None && !uncacheable;
         let mut best: Option<Choice> = None;
-        for &(node, stretch) in &candidates {
+        for &(node, slowdown) in &candidates {
             let believed = holders.contains(&node);
-            let known = &self.nodes[&node];
-            let access = known.lag + sending * stretch;
-            let cold = start.part(now, known.info.ready_at) < 1.0;
+            let k = &self.nodes[&node];
+            let access = k.latency + work * slowdown;
+            let cold = start.capacity_share(now, k.info.ready_at) < 1.0;
             let spread = Some(node) != hashed && !believed;
-            let signs = [known.blamed.is_some(), cold, spread, never_kept, count > 1, believed];
-            let why = RoutingReason::first(signs);
-            let absent = self.exclusion.chance(believed, n);
-            let from_upper = upper.or((believed && !never_kept).then_some(node)).map(|source| {
+            let flags = [k.ejected.is_some(), cold, spread, uncacheable, count > 1, believed];
+            let reason = RoutingReason::from_flags(flags);
+            let absent = self.exclusion.probability(believed, n);
+            let miss_latency = access + penalty;
+            let base =
+                Choice { holders: n, believed, absent, reason, slowdown, miss_latency, ..Choice::default() };
+            let from_upper = upper.or((believed && !uncacheable).then_some(node)).map(|source| {
                 (source, false, access + penalty * absent, access + if believed { 0.0 } else { penalty })
             });
-            let siblings = holders.iter().filter(|&&h| siblings && h != node && fit(h));
+            let siblings = holders.iter().filter(|&&h| siblings && h != node && usable(h));
             let from_siblings = siblings.map(|s| {
-                let through = access + self.sibling_extra + sending * (self.pace(&self.nodes[s]) - 1.0);
-                (*s, true, through + penalty * absent * self.exclusion.chance(true, n), through)
+                let pace = self.relative_pace(&self.nodes[s]);
+                let latency = access + self.sibling_latency + work * (pace - 1.0);
+                (*s, true, latency + penalty * absent * self.exclusion.probability(true, n), latency)
             });
             for (source, sibling, cost, latency) in from_upper.into_iter().chain(from_siblings) {
                 if best.is_none_or(|b| cost < b.cost) {
-                    let held_only = sibling || sparing && source != node;
-                    best = Some(Choice {
-                        node,
-                        source,
-                        sibling,
-                        held_only,
-                        n,
-                        believed,
-                        absent,
-                        cost,
-                        why,
-                        latency,
-                        stretch,
-                        worst: access + penalty,
-                    });
+                    let only_if_cached = sibling || sparing && source != node;
+                    best = Some(Choice { node, source, sibling, only_if_cached, cost, latency, ..base });
                 }
             }
         }
         best
     }
 
-    /// The tier above: the better by latency of two parents drawn, else the origin. The draw is by the object
-    /// and the same at all directors, so that a parent is asked for what it holds; with replacement, so that
-    /// either is sampled now and then. What is not fit is drawn again; no request looks at all parents.
-    fn upper(&self, now: f64, id: RequestId, work: f64) -> Option<NodeId> {
+    /// Returns the upper tier: the quicker of two parents drawn, else the origin. The draw is by object and
+    /// the same at all directors, so that a parent is asked for what it holds; with replacement, so that
+    /// either is sampled now and then. Unusable ones are drawn again; no request looks at all parents.
+    fn upper(&self, now: f64, id: RequestId, mean_work: f64) -> Option<NodeId> {
         let open = &self.open[&id];
         let mut best: Option<NodeId> = None;
-        let lag = |id: NodeId| self.nodes[&id].fill_lag(now);
-        for draw in 0..DRAWS {
-            // A jam of its link shows in how its fills flow; the origin's, which is everybody's, in their
-            // wait.
-            let jammed = |b: NodeId| self.nodes[&b].pace.alone(now) > STRETCHED;
-            let slow = draw == NEAR_DRAWS && self.parents.has_far() && best.is_some_and(jammed);
-            if draw >= NEAR_DRAWS && best.is_some() && !slow || self.parents.is_empty() {
+        let latency = |id: NodeId| self.nodes[&id].fill_latency(now);
+        for draw in 0..MAX_PARENT_DRAWS {
+            // A parent's congested link shows in the pace of its fills; a congested origin, which all parents
+            // share, shows in their wait.
+            let congested = |b: NodeId| self.nodes[&b].pace.absolute(now) > FULL_LINK_SLOWDOWN;
+            let far = draw == OWN_HUB_DRAWS && self.parents.spans_hubs() && best.is_some_and(congested);
+            if draw >= OWN_HUB_DRAWS && best.is_some() && !far || self.parents.is_empty() {
                 break;
             }
-            let p = self.parents.draw(open.request.object.0, draw, draw < NEAR_DRAWS);
-            let better = best.is_none_or(|b| lag(p) + if slow { FAR } else { 0.0 } < lag(b));
-            if better && self.fit(now, open, p, work) {
+            let p = self.parents.draw(open.request.object.0, draw, draw < OWN_HUB_DRAWS);
+            let penalty = if far { FAR_HUB_PENALTY } else { 0.0 };
+            let better = best.is_none_or(|b| latency(p) + penalty < latency(b));
+            if better && self.is_usable(now, open, p, mean_work) {
                 best = Some(p);
             }
         }
-        best.or_else(|| self.origin.filter(|&o| self.fit(now, open, o, work)))
+        best.or_else(|| self.origin.filter(|&o| self.is_usable(now, open, o, mean_work)))
     }
 
     // ---- Decisions ----
 
     fn decide(&mut self, now: f64, id: RequestId, actions: &mut Vec<Action>) {
-        let (open, tries) = (&self.open[&id], TRIES.min(usize::from(self.settings.most_tries)));
-        let over = now >= open.request.expires || open.attempts.len() >= tries;
+        let open = &self.open[&id];
+        let most = MAX_ATTEMPTS.min(usize::from(self.settings.max_attempts));
+        let over = now >= open.request.expires || open.attempts.len() >= most;
         let choice = if over { None } else { self.choose(now, id) };
         let Some(choice) = choice else { return self.give_up(id, actions) };
         let open = &self.open[&id];
-        let (class, sending) = (self.class(&open.request), self.sending(&open.request));
-        let aim = class.aim + class.aim_stretch * sending;
-        let spent = now - open.came;
-        // Overload guard: what cannot be answered in time is refused early, so that the rest can be.
-        // A link that is only just full clears by itself, and the estimate is too dark for that: 0.9 alone
-        // refused 4% of a day on which 1% were late.
-        let full = choice.stretch.max(self.jam());
-        let admit = ADMIT.1 - (ADMIT.1 - ADMIT.0) * ((full - 1.0) / (CROWDED - 1.0)).min(1.0);
-        let admit = admit * (1.0 - UNSEEN.0 * ((self.settings.sharers() - 1.0) / UNSEEN.1).min(1.0));
-        // Nor is it worth a full link if the client will not wait. Some of each size are taken all the same.
-        let (waits, class) = (open.request.expires - open.came, usize::from(open.request.class.0));
-        let late = full > 1.0 && spent + choice.latency > (admit * aim).min(waits) && self.may_refuse(open);
-        let hit = spent + sending * choice.stretch;
-        if self.sizes[class].refuses(now, sending / self.work[class].max(1e-9), late, hit < waits) {
+        let (class, work) = (self.class(&open.request), self.work(&open.request));
+        let aim = class.aim + class.aim_stretch * work;
+        let spent = now - open.arrived_at;
+        // Overload guard: what cannot be answered in time is refused early, so that the rest can be. A link
+        // that is only just full clears by itself, which the estimate leaves out: 0.9 alone refused 4% of a
+        // day on which 1% were late.
+        let full = choice.slowdown.max(self.zone_slowdown());
+        let admit = ADMIT_JUST_FULL
+            - (ADMIT_JUST_FULL - ADMIT_CROWDED) * ((full - 1.0) / (CROWDED_SLOWDOWN - 1.0)).min(1.0);
+        let peers = self.settings.own_zone_directors() - 1.0;
+        let admit = admit * (1.0 - PEER_UNCERTAINTY * (peers / UNCERTAIN_PEERS).min(1.0));
+        // Nor is it worth a full link if the client will not wait. Some of each size are sent all the same.
+        let (patience, class) = (open.request.expires - open.arrived_at, usize::from(open.request.class.0));
+        let limit = (admit * aim).min(patience);
+        let late = full > 1.0 && spent + choice.latency > limit && self.may_refuse(open);
+        let in_time = spent + work * choice.slowdown < patience;
+        if self.fairness[class].should_refuse(now, work / self.class_work[class].max(1e-9), late, in_time) {
             return self.give_up(id, actions);
         }
         self.send(now, id, choice, actions);
@@ -584,75 +582,77 @@
         let request = self.open[&id].request;
         let class = self.class(&request);
         let limit = self.purge_limit(now, &request);
-        let age = limit.map_or(0.0, |l| if class.fresh > 0.0 { l.min(class.fresh) } else { l });
+        let age = limit.map_or(0.0, |l| if class.fresh_for > 0.0 { l.min(class.fresh_for) } else { l });
         let options = FillOptions {
-            join: self.settings.joins && limit.is_none() && !choice.sibling,
-            held_only: choice.held_only,
+            join: self.settings.join_fills && limit.is_none() && !choice.sibling,
+            only_if_cached: choice.only_if_cached,
             no_parent_copy: false,
-            renew: class.fresh > 0.0 && limit.is_none(),
+            revalidate: class.fresh_for > 0.0 && limit.is_none(),
         };
-        let rank = if class.never_kept { 0 } else { RANK + u8::from(choice.n > 0) };
+        let rank = if class.uncacheable { 0 } else { FIRST_COPY_RANK + u8::from(choice.holders > 0) };
         let (node, source) = (choice.node, choice.source);
         actions.push(Action::Fetch { request: id, node, within: 0.0, source, rank, age, options });
-        self.reasons.count(choice.why);
-        self.book(now, &choice, 1.0, self.work[usize::from(request.class.0)]);
-        let sending = self.sending(&request);
+        self.reasons.count(choice.reason);
+        self.count_transfer(now, &choice, 1.0, self.class_work[usize::from(request.class.0)]);
+        let work = self.work(&request);
         if let Some(k) = self.nodes.get_mut(&node) {
-            k.own.sent(now, sending);
-            k.hearing.sent(now + choice.latency);
+            k.recent_work.add(now, work);
+            k.stalls.expect_answer(now + choice.latency);
         }
-        let then = (self.transfers(&self.nodes[&node]), self.fills());
-        let attempt = Attempt { choice, sent_at: now, then, out: true, ..Attempt::default() };
+        let (node_load, zone_load) = (self.transfers(&self.nodes[&node]), self.zone_transfers());
+        let attempt =
+            Attempt { choice, sent_at: now, node_load, zone_load, in_flight: true, ..Attempt::default() };
         let Some(open) = self.open.get_mut(&id) else { return };
         open.attempts.push(attempt);
         let number = open.attempts.len() - 1;
-        let after = (PATIENCE.0 * choice.latency + PATIENCE.1).min(self.lost_after(now, &choice, number));
-        self.look_again(now, id, number, after, actions);
+        let patience = PATIENCE_FACTOR * choice.latency + PATIENCE_MARGIN;
+        let after = patience.min(self.lost_after(now, &choice, number));
+        self.check_later(now, id, number, after, actions);
     }
 
-    /// Has an attempt looked at after so long.
-    fn look_again(&mut self, now: f64, id: RequestId, number: usize, after: f64, actions: &mut Vec<Action>) {
-        if let Some(a) = self.open.get_mut(&id).and_then(|open| open.attempts.get_mut(number)) {
-            a.look_at = now + after;
+    /// Sets a timer for the next check of an attempt.
+    fn check_later(&mut self, now: f64, id: RequestId, number: usize, after: f64, actions: &mut Vec<Action>) {
+        if let Some(a) = self.open.get_mut(&id).and_then(|p| p.attempts.get_mut(number)) {
+            a.check_at = now + after;
         }
-        actions.push(Action::Alarm { token: u64::from(id.0) << 16 | number as u64, after });
+        actions.push(Action::SetTimer { token: u64::from(id.0) << 16 | number as u64, after });
     }
 
-    /// Counts an attempt in (1, with its class mean) or out (-1, with the work done) at the links it uses.
-    fn book(&mut self, now: f64, choice: &Choice, step: f64, work: f64) {
+    /// Counts an attempt in (1, with its class's mean) or out (-1, with the work done) at the links it uses.
+    fn count_transfer(&mut self, now: f64, choice: &Choice, step: f64, work: f64) {
         let done = if step < 0.0 { work } else { 0.0 };
-        for (who, part) in [(choice.node, 1.0), (choice.source, choice.absent)] {
-            let Some(k) = self.nodes.get_mut(&who) else { continue };
-            k.out = (k.out + step * part).max(0.0);
+        for (id, share) in [(choice.node, 1.0), (choice.source, choice.absent)] {
+            let Some(k) = self.nodes.get_mut(&id) else { continue };
+            k.in_flight = (k.in_flight + step * share).max(0.0);
             if step > 0.0 {
-                k.charge(now, part * work, self.settings.fall_window);
+                k.count_attempt(now, share * work, self.settings.overload_window);
             }
             match k.info.kind {
                 kind if kind == self.settings.origin_kind => {}
                 kind if Some(kind) == self.settings.parent_kind => {
-                    self.above.book(now, step * part, done * part)
+                    self.parent_links.count(now, step * share, done * share)
                 }
-                _ => self.caches.book(now, step * part, done * part),
+                _ => self.edge_links.count(now, step * share, done * share),
             }
         }
         if !choice.sibling {
-            self.link_in.book(now, step * choice.absent, done * choice.absent);
+            self.zone_link.count(now, step * choice.absent, done * choice.absent);
         }
     }
 
-    /// Ends a request at once: refused where that is allowed, else failed.
+    /// Ends a request at once: refuses it where that is allowed, else fails it.
     fn give_up(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let open = &self.open[&id];
         for (i, a) in open.attempts.iter().enumerate() {
-            if a.streaming && a.out {
+            if a.streaming && a.in_flight {
                 return;
             }
-            if a.out && !a.cancelled && self.settings.cancel {
+            if a.in_flight && !a.cancelled && self.settings.cancel {
                 actions.push(Action::Cancel { request: id, attempt: i as u16 });
             }
         }
         actions.push(match self.may_refuse(open) {
-            true => Action::Refuse { request: id, wait: self.settings.max_wait },
+            true => Action::Refuse { request: id, wait: self.settings.max_retry_after },
             false => Action::Fail { request: id },
         });
         self.finish(id);
@@ -661,25 +661,25 @@
     fn finish(&mut self, id: RequestId) {
         if let Some(open) = self.open.get_mut(&id) {
             open.done = true;
-            // What is withdrawn since nobody waits any more says nothing of whoever was asked.
-            open.attempts.iter_mut().for_each(|a| a.dropped = a.out);
-            if open.attempts.iter().all(|a| !a.out) {
+            // An attempt that ends because nobody waits for it any more says nothing about its node.
+            open.attempts.iter_mut().for_each(|a| a.abandoned = a.in_flight);
+            if open.attempts.iter().all(|a| !a.in_flight) {
                 self.open.remove(&id);
             }
         }
     }
 
-    // ---- No effect twice ----
+    // ---- At most one effect ----
 
-    fn may_refuse(&self, open: &Open) -> bool {
+    fn may_refuse(&self, open: &OpenRequest) -> bool {
         let class = self.class(&open.request);
         matches!(class.effect, Effect::Safe | Effect::Keyed(Scope::All))
             || open.attempts.iter().all(|a| a.never_ran)
     }
 
-    /// May this node get a further attempt, given what earlier ones may have done?
-    fn may_send(&self, now: f64, open: &Open, node: &Node) -> bool {
-        if !self.settings.duplicate && open.attempts.iter().any(|a| a.out) {
+    /// Returns whether a node may get a further attempt, given what earlier ones may have done.
+    fn may_send(&self, now: f64, open: &OpenRequest, node: &Node) -> bool {
+        if !self.settings.concurrent_attempts && open.attempts.iter().any(|a| a.in_flight) {
             return false;
         }
         let class = self.class(&open.request);
@@ -687,281 +687,286 @@
             Effect::Safe => true,
             Effect::Unsafe => false,
             Effect::Keyed(scope) => {
-                let Some(then) = self.nodes.get(&a.choice.node) else { return false };
-                let zone = then.info.zone == node.zone;
-                let same = match scope {
+                let Some(earlier) = self.nodes.get(&a.choice.node) else { return false };
+                let same_zone = earlier.info.zone == node.zone;
+                let shares_keys = match scope {
                     Scope::All => true,
-                    Scope::Zone => zone,
-                    Scope::Cell => zone && then.info.cell == node.cell,
+                    Scope::Zone => same_zone,
+                    Scope::Cell => same_zone && earlier.info.cell == node.cell,
                 };
-                same && now < a.sent_at + class.key_ttl
+                shares_keys && now < a.sent_at + class.key_ttl
             }
         })
     }
 
-    // ---- Outcomes ----
+    // ---- Outcomes and health ----
 
-    fn attempt_end(&mut self, now: f64, id: RequestId, number: u16, end: End, actions: &mut Vec<Action>) {
+    fn end_attempt(&mut self, id: RequestId, number: u16, end: AttemptEnd, actions: &mut Vec<Action>) {
+        let now = self.now;
         let Some(open) = self.open.get_mut(&id) else { return };
         let request = open.request;
-        let Some(a) = open.attempts.get_mut(usize::from(number)).filter(|a| a.out) else { return };
-        a.out = false;
+        let Some(a) = open.attempts.get_mut(usize::from(number)).filter(|a| a.in_flight) else { return };
+        a.in_flight = false;
         a.never_ran = end.outcome.never_ran();
-        let seen = *a;
-        let done = if end.outcome == Outcome::Ok { self.sending(&request) } else { 0.0 };
-        self.book(now, &seen.choice, -1.0, done);
-        self.learn(now, &request, &seen, &end);
-        let blame = self.health(now, id, &seen, &end);
-        if let Some(k) = self.nodes.get_mut(&seen.choice.node) {
-            k.hearing.ended(seen.sent_at + seen.choice.latency);
+        let attempt = *a;
+        let done = if end.outcome == Outcome::Ok { self.work(&request) } else { 0.0 };
+        self.count_transfer(now, &attempt.choice, -1.0, done);
+        self.learn(now, &request, &attempt, &end);
+        let avoid = self.judge(now, id, &attempt, &end);
+        if let Some(k) = self.nodes.get_mut(&attempt.choice.node) {
+            k.stalls.forget_expected(attempt.sent_at + attempt.choice.latency);
         }
         let Some(open) = self.open.get_mut(&id) else { return };
-        open.avoid.extend(blame);
+        open.avoid.extend(avoid);
         if end.done || open.done {
             self.finish(id);
-        } else if open.attempts.iter().all(|a| !a.out) {
+        } else if open.attempts.iter().all(|a| !a.in_flight) {
             self.decide(now, id, actions);
         }
     }
 
-    /// What the outcome says of content and latency.
-    fn learn(&mut self, now: f64, request: &Request, seen: &Attempt, end: &End) {
-        let Choice { node, source, n, believed, sibling, held_only, .. } = seen.choice;
-        let sending = self.sending(request);
-        let hit = matches!(end.note, Note::Hit | Note::Old);
+    /// Learns about content and latency from an outcome.
+    fn learn(&mut self, now: f64, request: &Request, attempt: &Attempt, end: &AttemptEnd) {
+        let Choice { node, source, holders, believed, sibling, only_if_cached, .. } = attempt.choice;
+        let work = self.work(request);
+        let hit = matches!(end.note, Note::Hit | Note::Stale);
         let filled = matches!(end.note, Note::Filled | Note::FilledFromOrigin | Note::Joined);
-        let lacked = end.note == Note::SourceLacks
-            || end.outcome == Outcome::Miss && end.note == Note::None && held_only;
-        let absent = filled || end.outcome == Outcome::Miss || lacked;
+        let source_missed = end.note == Note::SourceMiss
+            || end.outcome == Outcome::Miss && end.note == Note::None && only_if_cached;
+        let absent = filled || end.outcome == Outcome::Miss || source_missed;
         // A timed-out, refused or failed attempt says nothing about content.
         if end.outcome == Outcome::Ok && hit || absent {
-            self.exclusion.count(now, believed, n, absent);
+            self.exclusion.record(now, believed, holders, absent);
         }
         if absent && end.outcome != Outcome::Ok {
-            self.held.disbelieve(request.object, request.part, node);
+            self.beliefs.disbelieve(request.object, request.part, node);
         }
-        if sibling && (lacked || filled) {
-            self.exclusion.count(now, true, n, lacked);
-            if lacked {
-                self.held.disbelieve(request.object, request.part, source);
+        if sibling && (source_missed || filled) {
+            self.exclusion.record(now, true, holders, source_missed);
+            if source_missed {
+                self.beliefs.disbelieve(request.object, request.part, source);
             }
         }
         if end.outcome != Outcome::Ok {
             return;
         }
-        self.losses[1] = (self.losses[1].0 * fade(self.losses[1].1, now) + 1.0, now);
-        self.held.believe(now, request.object, request.part, node, seen.sent_at);
-        let jam = self.jam();
-        let Some((slow, crowding)) = self.loaded(node) else { return };
+        self.answers_received.add(now, 1.0);
+        self.beliefs.believe(now, request.object, request.part, node, attempt.sent_at);
+        let zone_slowdown = self.zone_slowdown();
+        let Some((slowdown, crowding)) = self.slowdown_and_crowding(node) else { return };
         let Some(k) = self.nodes.get_mut(&node) else { return };
-        let expected = k.lag + sending * slow;
+        let expected = k.latency + work * slowdown;
         let class = usize::from(request.class.0);
-        let flowed = end.took - end.source_wait - k.lag;
-        if request.kb == 0.0 && (hit || self.settings.classes[class].never_kept) {
-            // The plain mean at first: a guess that fades slowly makes pages look like films (ibf0141), and
-            // what is never kept, which has no hits, for good (grand-large).
-            self.hits[class] += 1.0;
-            smooth(&mut self.work[class], flowed.max(0.0) / slow, SMOOTH.max(1.0 / self.hits[class]));
+        let transfer = end.took - end.source_wait - k.latency;
+        if request.kb == 0.0 && (hit || self.settings.classes[class].uncacheable) {
+            // The plain mean at first: an initial guess that fades slowly makes pages look like films
+            // (ibf0141), and does so for good for what is uncacheable, which has no hits (grand-large).
+            self.class_samples[class] += 1.0;
+            let weight = OUTCOME_WEIGHT.max(1.0 / self.class_samples[class]);
+            smooth(&mut self.class_work[class], transfer.max(0.0) / slowdown, weight);
         }
         if hit {
-            let flowing = (end.took - k.lag).max(0.0);
-            k.pace.saw(now, flowing, sending * crowding);
-            self.caches.saw(flowing, sending, seen.then.0);
+            let transfer = (end.took - k.latency).max(0.0);
+            k.pace.record(now, transfer, work * crowding);
+            self.edge_links.learn(transfer, work, attempt.node_load);
             // Signed: where sizes are unknown the mean is right though each one is not.
-            smooth(&mut k.lag, (end.took - sending * slow).clamp(-0.5, 0.5), SMOOTH);
+            smooth(&mut k.latency, (end.took - work * slowdown).clamp(-0.5, 0.5), OUTCOME_WEIGHT);
         } else if filled {
-            k.pace.saw(now, flowed, sending * crowding);
-            let extra = end.took - expected - sending * (jam - slow).max(0.0);
-            if !sibling && slow < STRETCHED && end.source_wait > 0.0 {
-                self.link_in.saw(flowed.max(0.0), sending, seen.then.1);
+            k.pace.record(now, transfer, work * crowding);
+            let extra = end.took - expected - work * (zone_slowdown - slowdown).max(0.0);
+            if !sibling && slowdown < FULL_LINK_SLOWDOWN && end.source_wait > 0.0 {
+                self.zone_link.learn(transfer.max(0.0), work, attempt.zone_load);
             }
             if sibling {
-                smooth(&mut self.sibling_extra, extra, SMOOTH);
+                smooth(&mut self.sibling_latency, extra, OUTCOME_WEIGHT);
             } else if let Some(s) = self.nodes.get_mut(&source) {
-                let weight = SMOOTH_FILL.max(FRESH.min(1.0 - fade(s.lag_at, now)));
-                (s.lag, s.lag_at) = (s.fill_lag(now), now);
-                s.pace.saw(now, flowed, sending * slow.max(jam));
-                smooth(&mut s.lag, extra / (sending + FILL_BASE), weight);
+                let weight = FILL_WEIGHT.max(MAX_FILL_WEIGHT.min(1.0 - fade(s.latency_at, now)));
+                (s.latency, s.latency_at) = (s.fill_latency(now), now);
+                s.pace.record(now, transfer, work * slowdown.max(zone_slowdown));
+                smooth(&mut s.latency, extra / (work + FILL_BASE_TIME), weight);
             }
         }
     }
 
-    /// What the outcome says of health; returns whom this request should avoid from now on.
-    fn health(&mut self, now: f64, id: RequestId, seen: &Attempt, end: &End) -> Option<NodeId> {
+    /// Learns about health from an outcome; returns the node that the request is to avoid from now on.
+    fn judge(&mut self, now: f64, id: RequestId, attempt: &Attempt, end: &AttemptEnd) -> Option<NodeId> {
         let filled = matches!(end.note, Note::Filled | Note::FilledFromOrigin);
-        let Choice { node, source, held_only, believed, .. } = seen.choice;
-        let told = self.settings.notes == Notes::All;
-        // Nor does one that was given no time, by a client's short wait or a standstill of this front.
-        let unread = end.took < seen.choice.latency || now < self.standstill.caught_up_at();
-        let early = end.outcome == Outcome::TimedOut && unread;
-        if early || seen.dropped && matches!(end.outcome, Outcome::TimedOut | Outcome::Cancelled) {
+        let Choice { node, source, only_if_cached, believed, .. } = attempt.choice;
+        let full_notes = self.settings.note_detail == NoteDetail::All;
+        // A timeout after a client's short wait, or a stall of this front, says nothing.
+        let too_short = end.took < attempt.choice.latency || now < self.stalls.caught_up_at();
+        let early = end.outcome == Outcome::TimedOut && too_short;
+        if early || attempt.abandoned && matches!(end.outcome, Outcome::TimedOut | Outcome::Cancelled) {
             return None;
         }
-        let (likely, note) = (!believed && !held_only, end.note);
-        let ok = note == Note::FilledFromOrigin || !told && note == Note::Filled;
+        let (needs_fill, note) = (!believed && !only_if_cached, end.note);
+        let answered = note == Note::FilledFromOrigin || !full_notes && note == Note::Filled;
         let failed = match end.outcome {
-            Outcome::TimedOut | Outcome::Cancelled => likely,
-            Outcome::Full | Outcome::Error => note == Note::OriginFailed || likely && !told,
+            Outcome::TimedOut | Outcome::Cancelled => needs_fill,
+            Outcome::Full | Outcome::Error => note == Note::OriginFailed || needs_fill && !full_notes,
             _ => false,
         };
-        for (calls, yes) in self.origin_calls.iter_mut().zip([ok, ok || failed]) {
-            *calls = (calls.0 * fade(calls.1, now) + f64::from(u8::from(yes)), now);
-        }
-        let unclear = !told
-            && !held_only
-            && Some(source) != self.origin
-            && !self.open[&id].avoid.contains(&source)
-            && node != source;
-        let answered = matches!(end.outcome, Outcome::Ok | Outcome::Miss | Outcome::Full | Outcome::Error);
-        for (who, yes) in [(node, answered), (source, filled)] {
-            if let Some(k) = self.nodes.get_mut(&who).filter(|_| yes) {
-                (k.strikes, k.blamed) = (0, None);
-                k.answered = k.answered.max(seen.sent_at);
-                k.hearing.heard(now);
+        self.origin_answered.add(now, f64::from(u8::from(answered)));
+        self.origin_asked.add(now, f64::from(u8::from(answered || failed)));
+        let parent_fill = node != source && Some(source) != self.origin && !only_if_cached;
+        let source_suspect = !full_notes && parent_fill && !self.open[&id].avoid.contains(&source);
+        let replied = matches!(end.outcome, Outcome::Ok | Outcome::Miss | Outcome::Full | Outcome::Error);
+        for (id, replied) in [(node, replied), (source, filled)] {
+            if let Some(k) = self.nodes.get_mut(&id).filter(|_| replied) {
+                (k.consecutive_failures, k.ejected) = (0, None);
+                k.newest_answered = k.newest_answered.max(attempt.sent_at);
+                k.stalls.record_answer(now);
                 self.last_answer = now;
             }
         }
-        let (guilty, proof) = match end.outcome {
-            Outcome::Ok | Outcome::Moot | Outcome::Miss => return None,
-            // An origin in trouble must not cost the parents, which still hold much (i24eb3c).
+        let (culprit, proof) = match end.outcome {
+            Outcome::Ok | Outcome::NotSent | Outcome::Miss => return None,
+            // An origin in trouble must not eject the parents, which still hold much (i24eb3c).
             _ if end.note == Note::OriginFailed => return None,
             _ if matches!(note, Note::SourceRefused | Note::SourceFailed) => (source, false),
-            // Where notes do not tell, a refused fill is held against its source first: a parent gone
-            // makes every cache look full, and three refusals without a fill between blame it.
-            Outcome::Full if unclear => (source, false),
+            // Without full notes, a refused fill counts against its source first: a dead parent makes every
+            // cache look full, and three refusals without a fill in between eject it.
+            Outcome::Full if source_suspect => (source, false),
             Outcome::Full => return Some(node),
             Outcome::ConnectFailed => (node, true),
-            // A connection that broke is no node that is down: that refuses the next one.
+            // A broken connection does not prove that a node is down: a dead node refuses the next one.
             Outcome::Reset => (node, false),
-            Outcome::Cancelled if seen.cancelled => return None,
+            Outcome::Cancelled if attempt.cancelled => return None,
             Outcome::Error | Outcome::TimedOut | Outcome::Cancelled => (node, false),
         };
         let reset = end.outcome == Outcome::Reset;
-        let Some(k) = self.nodes.get_mut(&guilty) else { return Some(guilty) };
-        k.strikes += u32::from(!reset || now - k.struck > AT_ONCE);
-        k.struck = if reset { now } else { k.struck };
-        let blamed = proof || k.strikes >= STRIKES;
-        if blamed {
-            k.blame(now);
+        let Some(k) = self.nodes.get_mut(&culprit) else { return Some(culprit) };
+        k.consecutive_failures += u32::from(!reset || now - k.last_reset > RESET_WINDOW);
+        k.last_reset = if reset { now } else { k.last_reset };
+        let eject = proof || k.consecutive_failures >= EJECTION_FAILURES;
+        if eject {
+            k.eject(now);
         }
-        Some(guilty).filter(|_| blamed || !reset)
+        Some(culprit).filter(|_| eject || !reset)
     }
 
-    /// How long an answer may take before it is held to be lost.
+    /// Returns how long an answer may take before it counts as lost.
     fn lost_after(&self, now: f64, choice: &Choice, attempt: usize) -> f64 {
-        let full = self.nodes.get(&choice.node).map_or(1.0, |k| self.crowding(k)).max(self.jam()) > 1.0;
-        let [lost, answered] = self.losses.map(|c| c.0 * fade(c.1, now));
-        let mode = if full { 0 } else { 1 + usize::from(attempt == 0 && lost > LOSING * answered) };
-        let expected = if mode == 2 && choice.believed { choice.latency } else { choice.worst };
-        LOST[mode].0 * expected + LOST[mode].1
+        let crowding = self.nodes.get(&choice.node).map_or(1.0, |k| self.crowding(k));
+        let full = crowding.max(self.zone_slowdown()) > 1.0;
+        let losing = self.answers_lost.value(now) > LOSS_RATIO * self.answers_received.value(now);
+        let mode = if full { 0 } else { 1 + usize::from(attempt == 0 && losing) };
+        let expected = if mode == 2 && choice.believed { choice.latency } else { choice.miss_latency };
+        let (factor, margin) = LOST_AFTER[mode];
+        factor * expected + margin
     }
 
-    /// When what was due then has come, if a silence of this node, or a standstill of this front, held it up.
+    /// Returns when an answer that was due then has come, if a stall of its node or of this front held it up.
     fn caught_up_at(&self, node: NodeId, due: f64) -> f64 {
-        let heard = self.nodes.get(&node).map_or(f64::MIN, |k| k.hearing.caught_up_at(due));
-        heard.max(self.standstill.caught_up_at())
+        let caught_up = self.nodes.get(&node).map_or(f64::MIN, |k| k.stalls.caught_up_at(due));
+        caught_up.max(self.stalls.caught_up_at())
     }
 
-    /// A look at an attempt that takes longer than expected.
-    fn look(&mut self, now: f64, token: u64, actions: &mut Vec<Action>) {
+    /// Checks an attempt that takes longer than expected.
+    fn check_attempt(&mut self, now: f64, token: u64, actions: &mut Vec<Action>) {
         let (id, number) = (RequestId((token >> 16) as u32), (token & 0xffff) as usize);
-        let Some(open) = self.open.get(&id).filter(|o| !o.done) else { return };
+        let Some(open) = self.open.get(&id).filter(|p| !p.done) else { return };
         let class = usize::from(open.request.class.0);
-        let Some(&a) = open.attempts.get(number).filter(|a| a.out && !a.streaming && !a.cancelled) else {
-            return;
-        };
-        self.standstill.timer(a.look_at);
-        // Silence is held against a node only if others answered meanwhile: a stall of everything is not.
+        let attempt = open.attempts.get(number);
+        let Some(&a) = attempt.filter(|a| a.in_flight && !a.streaming && !a.cancelled) else { return };
+        self.stalls.record_timer(a.check_at);
+        // Silence counts against a node only if others answered meanwhile: otherwise everything stalls.
         let Choice { node, source, believed, .. } = a.choice;
         let others = self.last_answer > a.sent_at;
-        let silent = |id| others && self.nodes.get(&id).is_some_and(|k| k.hearing.last_answer() <= a.sent_at);
+        let silent = |id| others && self.nodes.get(&id).is_some_and(|k| k.stalls.last_answer() <= a.sent_at);
         let suspects = [Some(node), Some(source).filter(|_| !believed)];
-        let patient = a.sent_at + PATIENCE.0 * a.choice.latency + PATIENCE.1;
-        let guilty = suspects.into_iter().flatten().find(|&id| now + EARLY > patient && silent(id));
-        // Lost is an answer of which nothing came while the node answers what it was asked later: nobody is
-        // to blame, and the request goes again.
+        let patient_until = a.sent_at + PATIENCE_FACTOR * a.choice.latency + PATIENCE_MARGIN;
+        let overdue = now + TIMER_TOLERANCE > patient_until;
+        let culprit = suspects.into_iter().flatten().find(|&id| overdue && silent(id));
+        // An answer is lost if nothing of it came while the node answers later attempts: no node is at fault,
+        // and the request is sent again.
         let due = a.sent_at + self.lost_after(now, &a.choice, number);
-        let lost = now + EARLY > due && self.nodes.get(&node).is_some_and(|k| k.answered > a.sent_at);
-        if guilty.is_none() && !lost {
-            let next = [due, patient].into_iter().filter(|&at| at > now + EARLY).reduce(f64::min);
-            let after = next.map_or(RECHECK, |at| at - now);
-            return self.look_again(now, id, number, after, actions);
-        }
-        // What a silence held up comes together behind it: who is late then is not to blame.
-        let after = self.caught_up_at(node, if lost { due } else { patient }) - now;
-        if after > EARLY && a.spared < SPARED_MOST {
+        let lost = now + TIMER_TOLERANCE > due
+            && self.nodes.get(&node).is_some_and(|k| k.newest_answered > a.sent_at);
+        if culprit.is_none() && !lost {
+            let times = [due, patient_until].into_iter().filter(|&at| at > now + TIMER_TOLERANCE);
+            let after = times.reduce(f64::min).map_or(RECHECK_DELAY, |at| at - now);
+            return self.check_later(now, id, number, after, actions);
+        }
+        // Answers that a stall held up arrive together after it: one that is late then is no sign of a fault.
+        let after = self.caught_up_at(node, if lost { due } else { patient_until }) - now;
+        if after > TIMER_TOLERANCE && a.deferrals < MAX_DEFERRALS {
             if let Some(open) = self.open.get_mut(&id) {
-                open.attempts[number].spared += 1;
+                open.attempts[number].deferrals += 1;
             }
-            return self.look_again(now, id, number, after, actions);
+            return self.check_later(now, id, number, after, actions);
         }
-        self.losses[0] = (self.losses[0].0 * fade(self.losses[0].1, now) + f64::from(u8::from(lost)), now);
-        if let Some(k) = guilty.and_then(|g| self.nodes.get_mut(&g)) {
-            k.blame(now);
+        self.answers_lost.add(now, f64::from(u8::from(lost)));
+        if let Some(k) = culprit.and_then(|c| self.nodes.get_mut(&c)) {
+            k.eject(now);
         }
-        // It has flowed for so long at least.
-        let sending = self.sending(&self.open[&id].request);
-        let loaded = self.loaded(node);
-        if let Some((k, (slow, crowding))) = self.nodes.get_mut(&node).zip(loaded) {
-            let flowed = now - a.sent_at - (a.choice.latency - sending * slow).max(0.0);
-            k.pace.saw(now, flowed, sending * crowding);
+        // Its transfer has lasted this long at least.
+        let work = self.work(&self.open[&id].request);
+        let loaded = self.slowdown_and_crowding(node);
+        if let Some((k, (slowdown, crowding))) = self.nodes.get_mut(&node).zip(loaded) {
+            let transfer = now - a.sent_at - (a.choice.latency - work * slowdown).max(0.0);
+            k.pace.record(now, transfer, work * crowding);
         }
-        // Where only one attempt may be out, the next goes when the withdrawn one has ended.
+        // Where only one attempt may be in flight, the next is sent when the cancelled one has ended.
         let repeats = match self.settings.classes[class].effect {
             Effect::Safe => true,
-            Effect::Keyed(scope) => guilty.is_none() && scope == Scope::All,
+            Effect::Keyed(scope) => culprit.is_none() && scope == Scope::All,
             Effect::Unsafe => false,
         };
         let Some(open) = self.open.get_mut(&id).filter(|_| repeats && self.settings.cancel) else { return };
-        open.avoid.extend(guilty);
+        open.avoid.extend(culprit);
         open.attempts[number].cancelled = true;
         actions.push(Action::Cancel { request: id, attempt: number as u16 });
-        if self.settings.duplicate {
+        if self.settings.concurrent_attempts {
             self.decide(now, id, actions);
         }
     }
 
-    // ---- Cold nodes and health, as far as they bear on the choice ----
+    // ---- Usability: health and slow start ----
 
-    /// May a node of this tier get an attempt, or be the source of one, now?
-    fn fit(&self, now: f64, open: &Open, id: NodeId, work: f64) -> bool {
+    /// Returns whether a node may get an attempt, or be the source of one, now.
+    fn is_usable(&self, now: f64, open: &OpenRequest, id: NodeId, work: f64) -> bool {
         let Some(k) = self.nodes.get(&id).filter(|k| k.listed) else { return false };
-        !open.avoid.contains(&id) && k.blamed.is_none_or(|(trial, _)| now >= trial) && self.room(now, k, work)
+        let may_try = k.ejected.is_none_or(|(trial, _)| now >= trial);
+        !open.avoid.contains(&id) && may_try && self.has_budget(now, k, work)
     }
 
-    /// What was sent to a cache lately per unit of its link: a cold one has only a part of it yet.
-    fn load(&self, now: f64, start: &Cold, id: NodeId) -> f64 {
+    /// Returns the recent work of a cache per unit of its link, of which a cold one has only a share yet.
+    fn relative_load(&self, now: f64, start: &SlowStart, id: NodeId) -> f64 {
         let k = &self.nodes[&id];
-        k.own.by(now) / (k.size * start.part(now, k.info.ready_at).max(0.01))
+        k.recent_work.decayed(now) / (k.size * start.capacity_share(now, k.info.ready_at).max(0.01))
     }
 
-    /// Does a cold node's budget bear this much more work? What warm nodes of its tier carry in the mean, all
-    /// directors together, stands in for its link where that is not told.
-    fn room(&self, now: f64, k: &Known, work: f64) -> bool {
+    /// Returns whether a cold node's budget admits this much more work. What the nodes of its tier carry in
+    /// the mean, for all directors together, stands in for its link where that is unknown.
+    fn has_budget(&self, now: f64, k: &NodeRecord, work: f64) -> bool {
         let s = &self.settings;
         let parent = Some(k.info.kind) == s.parent_kind;
-        let cold = Cold::of(s, parent);
+        let start = SlowStart::from_settings(s, parent);
         let ready_at = k.info.ready_at;
-        if cold.part(now, ready_at) >= 1.0 {
+        if start.capacity_share(now, ready_at) >= 1.0 {
             return true;
         }
-        let (carried, rate) = if parent {
-            (self.above.carried / self.parents.parents().max(1.0), f64::INFINITY)
+        let (mean_load, rate) = if parent {
+            (self.parent_links.work_rate / self.parents.parent_count().max(1.0), f64::INFINITY)
         } else {
-            let blamed = |e: &&NodeId| self.nodes[*e].blamed.is_some();
-            let takers = (self.edges.len() - self.edges.iter().filter(blamed).count()).max(1) as f64;
-            let lately = self.caches.carried / work.max(1e-3);
-            (self.caches.carried / self.edges.len().max(1) as f64, self.heat.rate(now).max(lately) / takers)
+            let ejected = self.edges.iter().filter(|e| self.nodes[*e].ejected.is_some()).count();
+            let takers = (self.edges.len() - ejected).max(1) as f64;
+            let recent_rate = self.edge_links.work_rate / work.max(1e-3);
+            let mean_load = self.edge_links.work_rate / self.edges.len().max(1) as f64;
+            (mean_load, self.popularity.rate(now).max(recent_rate) / takers)
         };
-        let link = if s.weights_told { k.info.weight } else { (cold.sharers * carried).max(LINK_SAFE) };
-        let lately = k.sent.iter().filter(|x| x.0 + s.fall_window > now).map(|x| x.1).sum();
-        let seed = k.info.id.0 ^ u64::from(s.me) << 32;
-        cold.admits(SlowStartRequest { now, ready_at, link, work, lately, rate, seed })
+        let estimate = (start.sharers * mean_load).max(MIN_COLD_LINK);
+        let link = if s.weights_are_link_sizes { k.info.weight } else { estimate };
+        let recent = k.warming_work.iter().filter(|x| x.0 + s.overload_window > now);
+        let recent_work = recent.map(|x| x.1).sum();
+        let seed = k.info.id.0 ^ u64::from(s.director_number) << 32;
+        start.admits(SlowStartRequest { now, ready_at, link, work, recent_work, rate, seed })
     }
 }
 
-/// An outcome as it came.
-struct End {
+/// How an attempt ended.
+struct AttemptEnd {
     outcome: Outcome,
     took: f64,
     done: bool,
@@ -969,29 +974,31 @@
     source_wait: f64,
 }
 
-impl Known {
-    fn new(info: Node, me: u16) -> Self {
-        let (never, pace) = (f64::MIN, Pace::new(unit(info.id.0, u64::from(me))));
-        Known { info, lag: BASE, pace, size: 1.0, answered: never, struck: never, ..Known::default() }
+impl NodeRecord {
+    fn new(info: Node, director: u16) -> Self {
+        let (latency, never) = (INITIAL_LATENCY, f64::MIN);
+        let pace = CachePace::new(unit_hash(info.id.0, u64::from(director)));
+        Self { info, latency, pace, size: 1.0, newest_answered: never, last_reset: never, ..Self::default() }
     }
 
-    /// What fills from it take beyond hits, as far as that still counts: a jam long ago is no jam now.
-    fn fill_lag(&self, now: f64) -> f64 {
-        BASE + (self.lag - BASE) * fade(self.lag_at + LAG_KEPT, now).min(1.0)
+    /// Returns what fills from it take beyond hits, as far as that still counts: old congestion is over.
+    fn fill_latency(&self, now: f64) -> f64 {
+        let weight = fade(self.latency_at + FILL_LATENCY_HOLD, now).min(1.0);
+        INITIAL_LATENCY + (self.latency - INITIAL_LATENCY) * weight
     }
 
-    fn blame(&mut self, now: f64) {
-        let pause = self.blamed.map_or(TRIAL.0, |(_, pause)| (2.0 * pause).min(TRIAL.1));
-        self.blamed = Some((now + pause, pause));
+    fn eject(&mut self, now: f64) {
+        let pause = self.ejected.map_or(MIN_EJECTION, |(_, pause)| (2.0 * pause).min(MAX_EJECTION));
+        self.ejected = Some((now + pause, pause));
     }
 
-    /// Counts an attempt and, on trial, holds others back.
-    fn charge(&mut self, now: f64, work: f64, window: f64) {
-        let held_back = |(trial, pause)| (if now >= trial { now + pause } else { trial }, pause);
-        self.blamed = self.blamed.map(held_back);
+    /// Counts an attempt; a trial attempt postpones the next one.
+    fn count_attempt(&mut self, now: f64, work: f64, window: f64) {
+        let postponed = |(trial, pause)| (if now >= trial { now + pause } else { trial }, pause);
+        self.ejected = self.ejected.map(postponed);
         if self.info.ready_at > 0.0 {
-            self.sent.push_back((now, work));
-            while self.sent.pop_front_if(|s| s.0 + window <= now).is_some() {}
+            self.warming_work.push_back((now, work));
+            while self.warming_work.pop_front_if(|s| s.0 + window <= now).is_some() {}
         }
     }
 }
--- a/src/broker/admission.rs
+++ b/src/broker/admission.rs
@@ -38,7 +38,7 @@
             return self.turn_away(caller, ask.class, Answer::Forbidden);
         }
         if !self.has_room() || self.callers.contains_key(&caller) {
-            let wait = self.director.settings().max_wait;
+            let wait = self.director.settings().max_retry_after;
             return self.turn_away(caller, ask.class, Answer::Refused(wait));
         }
         if let Err(wait) = self.budgets.admit(now, ask.team) {
@@ -65,7 +65,7 @@
                 .settings()
                 .classes
                 .get(usize::from(ask.class.0))
-                .is_some_and(|c| c.never_kept),
+                .is_some_and(|c| c.uncacheable),
         };
         self.timers.set(ask.deadline, timers::Timer::Deadline(id));
         self.callers.insert(caller, id);
@@ -100,7 +100,7 @@
         // forgotten (nodes, purges) needs room, they make do with what is left.
         let granted = self.learned.resize(wanted).is_ok();
         let left = if granted { wanted } else { self.learned.bytes() };
-        self.director.hold_to(left.saturating_sub(fixed));
+        self.director.set_memory_limit(left.saturating_sub(fixed));
     }
 
     /// Answers a request that the director never hears of.
@@ -114,7 +114,7 @@
     /// How long its class aims for, by the size where that is told (seconds).
     pub(super) fn aim(&self, ask: &ClientRequest) -> f64 {
         let s = self.director.settings();
-        let sending = s.sending(ask.kb).unwrap_or(0.0);
+        let sending = s.transfer_time(ask.kb).unwrap_or(0.0);
         s.classes.get(usize::from(ask.class.0)).map_or(f64::MAX, |c| c.aim + c.aim_stretch * sending)
     }
 
--- a/src/broker/attempts.rs
+++ b/src/broker/attempts.rs
@@ -94,14 +94,14 @@
     /// be harmless. Another node's answer would find no more room, so that none is asked, and this one is not blamed.
     pub(super) fn no_memory(&mut self, now: f64, ticket: Ticket) {
         let Some(open) = self.open.get(&ticket.request).filter(|o| !o.done) else {
-            return self.ended(now, ticket, Outcome::Moot, Note::None, 0.0, None);
+            return self.ended(now, ticket, Outcome::NotSent, Note::None, 0.0, None);
         };
         self.counters.no_memory += 1;
         let settings = self.director.settings();
         let effect = settings.classes.get(usize::from(open.ask.class.0)).map(|c| c.effect);
         let answer = match effect {
             Some(crate::interface::Effect::Safe | crate::interface::Effect::Keyed(Scope::All)) => {
-                Answer::Refused(settings.max_wait)
+                Answer::Refused(settings.max_retry_after)
             }
             _ => Answer::Failed,
         };
@@ -109,7 +109,7 @@
             a.call_off();
         }
         self.answer(now, ticket.request, answer);
-        self.ended(now, ticket, Outcome::Moot, Note::None, 0.0, None);
+        self.ended(now, ticket, Outcome::NotSent, Note::None, 0.0, None);
     }
 
     pub(super) fn attempt(&mut self, ticket: Ticket) -> Option<&mut Attempt> {
@@ -202,12 +202,12 @@
                 self.leave(now, request);
             }
             let done = self.open.get(&request).is_none_or(|o| o.done);
-            self.counters.ended(Outcome::Moot, Note::None);
+            self.counters.ended(Outcome::NotSent, Note::None);
             return self.queue.push_back(Event::AttemptEnd {
                 request,
                 attempt: ticket.attempt,
                 node,
-                outcome: Outcome::Moot,
+                outcome: Outcome::NotSent,
                 took: 0.0,
                 done,
                 note: Note::None,
@@ -222,8 +222,8 @@
             self.timers.set(due, timers::Timer::Deadline(request));
         }
         // With a limit on age only what is younger will do; else what the class's grace lets pass.
-        let never_kept = rules.is_some_and(|c| c.never_kept);
-        let grace = rules.filter(|c| c.fresh > 0.0).map(|c| c.fresh + c.grace);
+        let uncacheable = rules.is_some_and(|c| c.uncacheable);
+        let grace = rules.filter(|c| c.fresh_for > 0.0).map(|c| c.fresh_for + c.grace);
         let oldest = if age > 0.0 { Some(age) } else { grace }.map_or(0.0, |limit| now - limit);
         let order = Order {
             ticket,
@@ -236,7 +236,7 @@
             options,
             due,
             oldest,
-            never_kept,
+            uncacheable,
             returned: 0,
             called_off,
             begin_by,
--- a/src/broker/counters.rs
+++ b/src/broker/counters.rs
@@ -111,10 +111,10 @@
             Outcome::ConnectFailed => self.connect_failed += 1,
             Outcome::Reset => self.reset += 1,
             Outcome::Cancelled => self.cancelled += 1,
-            Outcome::Moot => self.moot += 1,
+            Outcome::NotSent => self.moot += 1,
         }
         match note {
-            Note::Hit | Note::Old => self.hits += 1,
+            Note::Hit | Note::Stale => self.hits += 1,
             Note::Filled | Note::FilledFromOrigin | Note::Joined => self.fills += 1,
             _ => {}
         }
--- a/src/broker/messages.rs
+++ b/src/broker/messages.rs
@@ -195,7 +195,7 @@
     /// A copy made before is too old to be served, in Unix seconds.
     pub oldest: f64,
     /// What it gives is no copy of anything.
-    pub never_kept: bool,
+    pub uncacheable: bool,
     /// How often it came back from a connection that ended before its write.
     pub returned: u8,
     /// It is not sent any more: told here as it is decided, whatever queue the order is in.
@@ -241,7 +241,7 @@
     Ended {
         /// Which.
         ticket: Ticket,
-        /// How; `Moot` if it was taken back unsent, `Cancelled` if on the wire.
+        /// How; `NotSent` if it was taken back unsent, `Cancelled` if on the wire.
         outcome: Outcome,
         /// Where the content came from, or why not.
         note: Note,
--- a/src/broker/mod.rs
+++ b/src/broker/mod.rs
@@ -108,7 +108,7 @@
 
     /// Publishes the gauges for operators; `waiting` requests are taken and still queued for the core.
     pub fn publish(&self, now: f64, waiting: usize) {
-        let avoided = |n: &Node| n.state != NodeState::Ready || self.director.avoids(now, n.id);
+        let avoided = |n: &Node| n.state != NodeState::Ready || self.director.is_ejected(now, n.id);
         self.figures.publish(Gauges {
             inflight: (self.callers.len() + waiting) as u64,
             hosts_listed: self.members.len() as u64,
@@ -211,7 +211,7 @@
     /// What is kept for a successor: cordons, and nodes put back while they may still be cold.
     pub fn kept(&self, now: f64) -> Kept {
         let s = self.director.settings();
-        self.members.kept(now, s.cold_for.max(s.parent_cold_for))
+        self.members.kept(now, s.warm_up_time.max(s.parent_warm_up_time))
     }
 
     /// Tells the director of nodes whose view changed, and takes back what waits for one that is no longer ready.
@@ -304,7 +304,7 @@
     pub fn tick(&mut self, now: f64) {
         while let Some(timer) = self.timers.due(now) {
             match timer {
-                timers::Timer::Alarm(token) => self.feed(now, Event::Alarm { token }),
+                timers::Timer::Alarm(token) => self.feed(now, Event::TimerFired { token }),
                 timers::Timer::Deadline(id) => self.overdue(now, id),
                 timers::Timer::Propagated(request, attempt) => {
                     self.propagated(now, Ticket { request, attempt })
@@ -379,9 +379,9 @@
                     self.effects.push(Effect::Command(Command::Cancel { ticket, node }));
                 }
             }
-            Action::Alarm { token, after } => self.timers.set(now + after, timers::Timer::Alarm(token)),
+            Action::SetTimer { token, after } => self.timers.set(now + after, timers::Timer::Alarm(token)),
             // The site pushes its list, and this director probes nobody and tells its peers nothing.
-            Action::Probe { .. } | Action::Tell { .. } | Action::Watch { .. } | Action::ReadList => {}
+            Action::Probe { .. } | Action::SendMessage { .. } | Action::Watch { .. } | Action::ReadList => {}
         }
     }
 }
--- a/src/broker/model.rs
+++ b/src/broker/model.rs
@@ -16,7 +16,7 @@
     Outcome::Error,
     Outcome::ConnectFailed,
     Outcome::Reset,
-    Outcome::Moot,
+    Outcome::NotSent,
 ];
 /// How long a node may take to hear that an attempt was given up.
 const PROPAGATION_SECONDS: f64 = 0.01;
@@ -36,16 +36,16 @@
         own_zone: ZoneId(1),
         directors_by_zone: vec![0, 1],
         hub_of_zone: vec![ZoneId(0), ZoneId(0)],
-        zone_link: vec![0.0, 50_000.0],
-        flow: 1000.0,
+        zone_link_kb_per_s: vec![0.0, 50_000.0],
+        answer_kb_per_s: 1000.0,
         classes: vec![class(Allowed::Safe), class(Allowed::Unsafe)],
         parent_kind: Some(1),
         origin_kind: 2,
-        sources: SiblingScope::Zone,
+        sibling_sources: SiblingScope::Zone,
         cancel: true,
-        most_tries: 8,
-        max_wait: 0.5,
-        purge_settles: 6.0,
+        max_attempts: 8,
+        max_retry_after: 0.5,
+        purge_settle_time: 6.0,
         ..Settings::default()
     };
     let (class_names, contracts) = (vec!["safe".into(), "unsafe".into()], Rc::new(contracts));
@@ -169,7 +169,7 @@
                         self.end(
                             broker,
                             key,
-                            if self.out[&key].written { Outcome::Cancelled } else { Outcome::Moot },
+                            if self.out[&key].written { Outcome::Cancelled } else { Outcome::NotSent },
                             false,
                         );
                     }
@@ -263,7 +263,7 @@
             }
             Step::Node { id, state } => {
                 let id = u64::from(id) % NODES;
-                let state = [NodeState::Ready, NodeState::Draining, NodeState::Gone][usize::from(state) % 3];
+                let state = [NodeState::Ready, NodeState::Draining, NodeState::Withdrawn][usize::from(state) % 3];
                 w.states[id as usize] = state;
                 let before: Vec<_> = w.out.iter().filter(|o| !o.1.written).map(|o| *o.0).collect();
                 broker.news(w.now, News::Roster { full: false, members: vec![member(id, state)] }, false);
--- a/src/config/classes.rs
+++ b/src/config/classes.rs
@@ -22,7 +22,7 @@
             names.iter().enumerate().map(|(i, n)| (n.clone().into_bytes(), ClassId(i as u16))).collect();
         let asks = classes
             .iter()
-            .map(|c| (c.deadline, matches!(c.effect, Effect::Keyed(_)), c.never_kept))
+            .map(|c| (c.deadline, matches!(c.effect, Effect::Keyed(_)), c.uncacheable))
             .collect();
         Classes { ids, names: names.into_iter().map(Into::into).collect(), asks }
     }
@@ -33,7 +33,7 @@
     }
 
     /// Is the class never kept, so that the reserve is there for it?
-    pub fn never_kept(&self, class: ClassId) -> bool {
+    pub fn uncacheable(&self, class: ClassId) -> bool {
         self.asks.get(usize::from(class.0)).is_some_and(|c| c.2)
     }
 
--- a/src/config/members.rs
+++ b/src/config/members.rs
@@ -44,7 +44,7 @@
         state: at.get("phase")?.one_of(&[
             ("active", NodeState::Ready),
             ("leaving", NodeState::Draining),
-            ("left", NodeState::Gone),
+            ("left", NodeState::Withdrawn),
         ])?,
         cell: at.opt("cell").map_or(Ok(0), |v| v.count())?,
         weight: at.opt("size").map_or(Ok(1.0), |v| v.number())?,
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -22,47 +22,47 @@
         _ => Some(parent_kind.count()?),
     };
     let settings = Settings {
-        me: top.get("me")?.count()?,
+        director_number: top.get("me")?.count()?,
         directors: top.get("fleet-size")?.count()?,
         own_zone: ZoneId(top.get("az")?.count()?),
         directors_by_zone: site.get("count-by-zone")?.list(KeyPath::count)?,
         hub_of_zone: site.get("zone-hub")?.list(|v| v.count().map(ZoneId))?,
-        zone_link: site.get("pipe-kb-per-s")?.list(KeyPath::amount)?,
-        flow: amount(&site, "one-flow-kb-per-s")?,
+        zone_link_kb_per_s: site.get("pipe-kb-per-s")?.list(KeyPath::amount)?,
+        answer_kb_per_s: amount(&site, "one-flow-kb-per-s")?,
         classes: classes(top, &site)?,
         parent_kind,
         origin_kind: site.get("source-kind")?.count()?,
-        sources: site.get("sideways")?.one_of(&[
+        sibling_sources: site.get("sideways")?.one_of(&[
             ("silent", SiblingScope::None),
             ("location", SiblingScope::Zone),
             ("any", SiblingScope::Any),
         ])?,
-        notes: site.get("says")?.one_of(&[
-            ("all", Notes::All),
-            ("hit", Notes::Hit),
-            ("silent", Notes::None),
+        note_detail: site.get("says")?.one_of(&[
+            ("all", NoteDetail::All),
+            ("hit", NoteDetail::Hit),
+            ("silent", NoteDetail::None),
         ])?,
-        direct: site.get("straight")?.flag()?,
-        joins: site.get("collapses")?.flag()?,
+        direct_attempts: site.get("straight")?.flag()?,
+        join_fills: site.get("collapses")?.flag()?,
         cancel: caps.get("cancel")?.flag()?,
-        duplicate: caps.get("may-duplicate")?.flag()?,
+        concurrent_attempts: caps.get("may-duplicate")?.flag()?,
         probes: caps.get("probes")?.flag()?,
         messages: caps.get("may-tell")?.flag()?,
-        most_tries: caps.get("most-tries")?.count()?,
-        max_wait: amount(&caps, "max-retry-after")?,
-        weights_told: top.get("weights")?.text()? != "silent",
+        max_attempts: caps.get("most-tries")?.count()?,
+        max_retry_after: amount(&caps, "max-retry-after")?,
+        weights_are_link_sizes: top.get("weights")?.text()? != "silent",
         list_on_request: top.get("membership-mode")?.one_of(&[("subscribe", true), ("automatic", false)])?,
-        ask_every: amount(&rules, "ask-every")?,
-        cold_from: share(&rules, "cold-from")?,
-        cold_for: amount(&rules, "cold")?,
-        fall_multiple: amount(&rules, "overload-factor")?,
-        fall_window: amount(&rules, "fall")?,
-        parent_cold_from: share(&site, "parent-floor")?,
-        parent_cold_for: amount(&site, "parent-ramp")?,
-        parent_fall_multiple: amount(&site, "upper-fall-multiple")?,
-        origin_fall_multiple: amount(&site, "root-fall-multiple")?,
-        origin_fall_window: amount(&site, "origin-over-for")?,
-        purge_settles: amount(&site, "purge-settles")?,
+        list_poll_interval: amount(&rules, "ask-every")?,
+        cold_start_share: share(&rules, "cold-from")?,
+        warm_up_time: amount(&rules, "cold")?,
+        overload_multiple: amount(&rules, "overload-factor")?,
+        overload_window: amount(&rules, "fall")?,
+        parent_cold_start_share: share(&site, "parent-floor")?,
+        parent_warm_up_time: amount(&site, "parent-ramp")?,
+        parent_overload_multiple: amount(&site, "upper-fall-multiple")?,
+        origin_overload_multiple: amount(&site, "root-fall-multiple")?,
+        origin_overload_window: amount(&site, "origin-over-for")?,
+        purge_settle_time: amount(&site, "purge-settles")?,
         purge_slack: amount(&site, "purge-slack")?,
         answer_slack: amount(&rules, "grace-to-answer")?,
         report_fields: top.get("report")?.get("fields")?.list(|v| v.text().map(str::to_owned))?,
@@ -82,7 +82,7 @@
     let grace = site.get("usable-after")?.list(KeyPath::amount)?;
     let stale_worth = site.get("old-copy-worth")?.list(KeyPath::amount)?;
     let multi_part = site.get("multi-part")?.list(KeyPath::flag)?;
-    let never_kept = site.get("never-kept")?.list(KeyPath::flag)?;
+    let uncacheable = site.get("never-kept")?.list(KeyPath::flag)?;
     let mut classes = top.get("profiles")?.list(|c| {
         Ok(Class {
             aim: c.get("aim")?.amount()?,
@@ -109,11 +109,11 @@
     })?;
     let short = || site.wrong("a table that tells of as many classes as 'profiles'");
     for (i, class) in classes.iter_mut().enumerate() {
-        class.fresh = *fresh.get(i).ok_or_else(short)?;
+        class.fresh_for = *fresh.get(i).ok_or_else(short)?;
         class.grace = *grace.get(i).ok_or_else(short)?;
         class.stale_worth = *stale_worth.get(i).ok_or_else(short)?;
         class.multi_part = *multi_part.get(i).ok_or_else(short)?;
-        class.never_kept = *never_kept.get(i).ok_or_else(short)?;
+        class.uncacheable = *uncacheable.get(i).ok_or_else(short)?;
     }
     Ok(classes)
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,222 +1,222 @@
-//! What a director is told and what it asks for: settings, events and actions. No decisions are made here.
+//! Input and output types of the director: settings, events and actions. No decisions are made here.
 
 use std::sync::Arc;
 
-/// A cache node (edge cache, parent or origin); opaque, only compared and hashed.
+/// Identifies a cache node (edge cache, parent or origin). Opaque: it is only compared and hashed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct NodeId(pub u64);
-/// One try of a client; never repeated.
+/// Identifies one request of a client; a client's retry has a new one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct RequestId(pub u32);
-/// An object, whatever the part.
+/// Identifies an object, without regard to its parts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct ObjectId(pub u64);
-/// A group of objects that can be purged together.
+/// Identifies a group of objects that can be purged together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct GroupId(pub u32);
-/// A request class, by its place in [`Settings::classes`].
+/// A request class, as an index into [`Settings::classes`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct ClassId(pub u16);
 /// A zone: a location with edge caches and directors, or a hub with parents.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct ZoneId(pub u16);
-/// Another director of the tier.
+/// Identifies another director of the tier.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct PeerId(pub u16);
 
-/// May a request of this class run more than once?
+/// Whether a request of a class may run more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Effect {
     /// Repeats and refusals are harmless.
     #[default]
     Safe,
-    /// Nodes of one scope drop repeats for a while.
+    /// The request has an idempotency key: nodes of one scope drop repeats for [`Class::key_ttl`].
     Keyed(Scope),
-    /// It must run once at most.
+    /// It must run at most once.
     Unsafe,
 }
 
-/// The nodes that share which keyed requests they have seen.
+/// The set of nodes that share their record of idempotency keys.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Scope {
     /// All nodes.
     #[default]
     All,
-    /// Nodes of one zone.
+    /// The nodes of one zone.
     Zone,
-    /// Nodes of one cell.
+    /// The nodes of one cell.
     Cell,
 }
 
 /// Which edge caches may be the source of a fill.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum SiblingScope {
-    /// None.
+    /// No edge cache.
     #[default]
     None,
-    /// Those of the own zone.
+    /// The edge caches of the director's own zone.
     Zone,
-    /// All.
+    /// Any edge cache.
     Any,
 }
 
-/// How much answers tell about where the content came from.
+/// How much of an attempt's [`Note`] the nodes report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Notes {
-    /// Hits, fills and why a fill failed.
+pub enum NoteDetail {
+    /// Hits, fills and the reason of a failed fill.
     #[default]
     All,
-    /// Hit or fill only.
+    /// Only whether it was a hit or a fill.
     Hit,
     /// Nothing.
     None,
 }
 
-/// A request class.
+/// The settings of a request class.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Class {
-    /// Full worth inside this time (seconds).
+    /// An answer within this time earns the full worth (seconds).
     pub aim: f64,
-    /// The aim grows by this multiple of the request's own sending time.
+    /// The aim is extended by this multiple of the request's transfer time.
     pub aim_stretch: f64,
-    /// Seconds a client waits in total.
+    /// The longest time that a client waits (seconds).
     pub deadline: f64,
-    /// Share of the worth that a late answer earns.
+    /// Share of the worth that an answer after the aim earns.
     pub late_worth: f64,
-    /// Worth of one request.
+    /// Worth of one answered request.
     pub worth: f64,
-    /// Whether it may be repeated.
+    /// Whether a request may run more than once.
     pub effect: Effect,
-    /// How long keyed repeats are dropped (seconds).
+    /// How long nodes drop repeats with the same key (seconds).
     pub key_ttl: f64,
-    /// Answered as a stream.
+    /// The answer is a stream.
     pub streaming: bool,
-    /// How long a copy is fresh (seconds); 0: until purged.
-    pub fresh: f64,
-    /// Grace: how much older than fresh a copy may be when asked for (seconds).
+    /// Freshness lifetime of a copy (seconds); 0: until it is purged.
+    pub fresh_for: f64,
+    /// How long past its freshness lifetime a copy may still be served (seconds).
     pub grace: f64,
-    /// What a copy past its fresh time earns, as a share of the worth.
+    /// Share of the worth that a stale copy earns.
     pub stale_worth: f64,
-    /// Objects come in parts asked for in turn.
+    /// Objects consist of parts that are requested one after another.
     pub multi_part: bool,
-    /// Runs at the origin and leaves no copy.
-    pub never_kept: bool,
+    /// The answer comes from the origin and no cache keeps a copy.
+    pub uncacheable: bool,
 }
 
-/// What a director is given at start.
+/// The settings that a director starts with.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Settings {
-    /// This director's number.
-    pub me: u16,
-    /// How many directors the tier has.
+    /// The number of this director within the tier.
+    pub director_number: u16,
+    /// Number of directors in the tier.
     pub directors: u16,
     /// Zone of this director.
     pub own_zone: ZoneId,
-    /// Directors by zone.
+    /// Number of directors in each zone.
     pub directors_by_zone: Vec<u16>,
     /// Hub of each zone.
     pub hub_of_zone: Vec<ZoneId>,
-    /// Link in of each zone, KB a second; 0 where not told.
-    pub zone_link: Vec<f64>,
-    /// Top pace of one answer, KB a second; 0 where not told.
-    pub flow: f64,
+    /// Rate of the link into each zone (KB/s); 0: unknown.
+    pub zone_link_kb_per_s: Vec<f64>,
+    /// Rate of one answer at full pace (KB/s); 0: unknown.
+    pub answer_kb_per_s: f64,
     /// The request classes.
     pub classes: Vec<Class>,
     /// Machine kind of parents, if there are any.
     pub parent_kind: Option<u16>,
     /// Machine kind of the origin.
     pub origin_kind: u16,
-    /// Which edge caches may be the source of a fill.
-    pub sources: SiblingScope,
-    /// What answers tell.
-    pub notes: Notes,
-    /// Parents and the origin take attempts too.
-    pub direct: bool,
-    /// A request may join a fill under way.
-    pub joins: bool,
-    /// Withdrawing attempts is allowed.
+    /// Which sibling edge caches may be the source of a fill.
+    pub sibling_sources: SiblingScope,
+    /// How much of an attempt's note the nodes report.
+    pub note_detail: NoteDetail,
+    /// Parents and the origin accept attempts too.
+    pub direct_attempts: bool,
+    /// A request may wait for a fill of the same object that is in progress.
+    pub join_fills: bool,
+    /// Attempts may be cancelled.
     pub cancel: bool,
-    /// Two attempts of one request may be out at a time.
-    pub duplicate: bool,
-    /// Probing is allowed.
+    /// Two attempts of one request may be in flight at a time.
+    pub concurrent_attempts: bool,
+    /// Nodes may be probed.
     pub probes: bool,
-    /// Messages to peers are allowed.
+    /// Messages may be sent to peers.
     pub messages: bool,
     /// Most attempts for one request.
-    pub most_tries: u16,
-    /// Longest wait a client will follow (seconds).
-    pub max_wait: f64,
-    /// Node weights tell the size of its link in full-pace transfers.
-    pub weights_told: bool,
-    /// The list must be asked for.
+    pub max_attempts: u16,
+    /// The longest retry delay that a client honours (seconds).
+    pub max_retry_after: f64,
+    /// A node's weight is the capacity of its link in transfers at full pace.
+    pub weights_are_link_sizes: bool,
+    /// The director must request the list of nodes.
     pub list_on_request: bool,
-    /// Ask at least this often where the list must be asked for (seconds).
-    pub ask_every: f64,
-    /// A node starts with at least this share of its capacity.
-    pub cold_from: f64,
-    /// And is warm within this time (seconds).
-    pub cold_for: f64,
-    /// Sent more than this multiple of its present capacity a cold node falls over.
-    pub fall_multiple: f64,
-    /// In this window (seconds).
-    pub fall_window: f64,
-    /// The same for parents: share of capacity at start.
-    pub parent_cold_from: f64,
-    /// Parents are warm within this time (seconds).
-    pub parent_cold_for: f64,
-    /// Parents fall over at this multiple.
-    pub parent_fall_multiple: f64,
-    /// The origin stops for a while at this multiple of what it can do (0: never).
-    pub origin_fall_multiple: f64,
-    /// When asked for it this long (seconds).
-    pub origin_fall_window: f64,
-    /// Caches drop purged copies by themselves within this time (seconds).
-    pub purge_settles: f64,
-    /// Time to heed a purge (seconds).
+    /// Longest interval between two requests for the list, where it must be requested (seconds).
+    pub list_poll_interval: f64,
+    /// Smallest share of its capacity that an edge cache has when it starts.
+    pub cold_start_share: f64,
+    /// Time until a started edge cache has its full capacity (seconds).
+    pub warm_up_time: f64,
+    /// A warming edge cache fails when it is sent more than this multiple of its present capacity.
+    pub overload_multiple: f64,
+    /// Window over which the load on a warming node is measured (seconds).
+    pub overload_window: f64,
+    /// Smallest share of its capacity that a parent has when it starts.
+    pub parent_cold_start_share: f64,
+    /// Time until a parent has its full capacity (seconds).
+    pub parent_warm_up_time: f64,
+    /// A warming parent fails when it is sent more than this multiple of its present capacity.
+    pub parent_overload_multiple: f64,
+    /// The origin stops for a while when it is sent this multiple of its capacity (0: never).
+    pub origin_overload_multiple: f64,
+    /// How long the origin must be overloaded until it stops (seconds).
+    pub origin_overload_window: f64,
+    /// Time within which every cache has dropped a purged copy (seconds).
+    pub purge_settle_time: f64,
+    /// Time that a front may take to act on a purge (seconds).
     pub purge_slack: f64,
-    /// A final answer counts until this long after the deadline (seconds).
+    /// A final answer still counts this long after the deadline (seconds).
     pub answer_slack: f64,
-    /// Names of the values in load reports.
+    /// Names of the values in a load report.
     pub report_fields: Vec<String>,
 }
 
 impl Settings {
-    /// Sending time at full pace of so many KB, where sizes are told (seconds).
-    pub fn sending(&self, kb: f64) -> Option<f64> {
-        (kb > 0.0 && self.flow > 0.0).then(|| kb / self.flow)
+    /// Returns the transfer time of `kb` at full pace (seconds), if both the size and the rate are known.
+    pub fn transfer_time(&self, kb: f64) -> Option<f64> {
+        (kb > 0.0 && self.answer_kb_per_s > 0.0).then(|| kb / self.answer_kb_per_s)
     }
 
-    /// How many directors share the edge caches of this one's zone.
-    pub fn sharers(&self) -> f64 {
+    /// Returns the number of directors in this director's zone, which share its edge caches.
+    pub fn own_zone_directors(&self) -> f64 {
         let here = self.directors_by_zone.get(usize::from(self.own_zone.0));
         f64::from(here.copied().unwrap_or(1).max(1))
     }
 }
 
-/// State of a cache node in the list.
+/// The state of a cache node in the list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum NodeState {
-    /// Takes requests.
+    /// Accepts requests.
     #[default]
     Ready,
-    /// Completes pending work only.
+    /// Completes pending requests and accepts no others.
     Draining,
-    /// Withdrawn.
-    Gone,
+    /// Removed from the list.
+    Withdrawn,
 }
 
-/// An entry of the list.
+/// An entry of the list of nodes.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Node {
-    /// Who.
+    /// The node's id.
     pub id: NodeId,
     /// Its state.
     pub state: NodeState,
-    /// Cell: nodes that share which keys they have seen.
+    /// Its cell: the nodes that share their record of idempotency keys.
     pub cell: u16,
-    /// Size to compare with others' (1 where not told).
+    /// Its capacity relative to other nodes (1 where unknown).
     pub weight: f64,
-    /// Machine kind.
+    /// Its machine kind.
     pub kind: u16,
     /// When it last started; 0: long ago.
     pub ready_at: f64,
@@ -224,16 +224,16 @@
     pub zone: ZoneId,
 }
 
-/// What a list event is.
+/// How to read the entries of a list event.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListKind {
-    /// Changed entries only.
+    /// The changed entries only.
     Delta,
     /// The complete list.
     Full,
-    /// The complete list as last held, possibly outdated.
+    /// The last known complete list, possibly outdated.
     Cached,
-    /// A call failed; nothing changes.
+    /// Reading the list failed; nothing changes.
     Failed,
 }
 
@@ -244,7 +244,7 @@
     pub id: RequestId,
     /// Its class.
     pub class: ClassId,
-    /// Tenant.
+    /// Its tenant.
     pub tenant: u16,
     /// The object.
     pub object: ObjectId,
@@ -254,11 +254,11 @@
     pub group: GroupId,
     /// When the client gives up (clock time).
     pub expires: f64,
-    /// KB to be sent; 0 where not told.
+    /// Size of the answer in KB; 0: unknown.
     pub kb: f64,
-    /// A client's repeat, where marked.
+    /// The client marked it as a retry.
     pub repeat: bool,
-    /// A write.
+    /// It is a write.
     pub write: bool,
 }
 
@@ -267,9 +267,9 @@
 pub enum Outcome {
     /// Served.
     Ok,
-    /// The node answered an error; it may have run.
+    /// The node answered with an error; the request may have run.
     Error,
-    /// Not taken by the node or its source.
+    /// The node or its source refused it for lack of capacity.
     Full,
     /// No answer in time.
     TimedOut,
@@ -277,121 +277,121 @@
     ConnectFailed,
     /// The connection dropped.
     Reset,
-    /// Withdrawn.
+    /// The director cancelled it.
     Cancelled,
-    /// Never sent.
-    Moot,
-    /// Nothing suitable held.
+    /// It was never sent.
+    NotSent,
+    /// The node, or its source, has no suitable copy.
     Miss,
 }
 
 impl Outcome {
-    /// Does it prove that nothing ran?
+    /// Returns whether the outcome proves that the request did not run.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot | Outcome::Miss)
+        matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::NotSent | Outcome::Miss)
     }
 }
 
-/// What an outcome's note tells.
+/// Where the content of an attempt came from, or why a fill failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Note {
-    /// Nothing.
+    /// Unknown.
     #[default]
     None,
     /// A hit.
     Hit,
     /// Filled from the source's copy.
     Filled,
-    /// Filled, and the origin was asked.
+    /// Filled, and the source had to ask the origin.
     FilledFromOrigin,
-    /// Joined a fill under way.
+    /// Joined a fill that was in progress.
     Joined,
-    /// A copy past its fresh time.
-    Old,
-    /// The source said no.
+    /// A hit on a stale copy.
+    Stale,
+    /// The source refused.
     SourceRefused,
-    /// The source was not reached, broke off or was too slow.
+    /// The source was unreachable, broke off or was too slow.
     SourceFailed,
-    /// The source has none.
-    SourceLacks,
-    /// No place for a fill at the edge cache.
-    NoFillPlace,
+    /// The source has no copy.
+    SourceMiss,
+    /// The edge cache had no free fill slot.
+    NoFillSlot,
     /// The origin failed behind the parent.
     OriginFailed,
 }
 
-/// What happened. Events that share a time are handed in the order in which they came.
+/// An event for the director. Events with the same time are handled in the order in which they came.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// News of the list of nodes.
+    /// A list of nodes, or a change of it.
     List {
-        /// How to read it.
+        /// How to read the entries.
         kind: ListKind,
         /// The entries.
         nodes: Arc<[Node]>,
     },
-    /// A client's request came in.
+    /// A client's request arrived.
     Request(Request),
-    /// A stream has begun; the attempt belongs to the client. Also where the front holds up an answer that has begun to
-    /// come: it is as little lost, and whoever reads it sees to its end.
+    /// The answer has begun to stream to the client, or the front holds up an answer that has begun to
+    /// arrive. Such an attempt is not lost: whoever reads its answer sees it through to the end.
     Streaming {
         /// The request.
         request: RequestId,
-        /// Which attempt, counted from 0.
+        /// The attempt's number, counted from 0.
         attempt: u16,
     },
     /// An attempt ended.
     AttemptEnd {
         /// The request.
         request: RequestId,
-        /// Which attempt, counted from 0.
+        /// The attempt's number, counted from 0.
         attempt: u16,
-        /// The node asked.
+        /// The node that it went to.
         node: NodeId,
         /// How it ended.
         outcome: Outcome,
-        /// Seconds since it went out.
+        /// Seconds since it was sent.
         took: f64,
         /// The request is finished.
         done: bool,
-        /// Where the content came from, or why not.
+        /// Where the content came from, or why a fill failed.
         note: Note,
-        /// Time to the first byte from the source, 0 where not told.
+        /// Time to the first byte from the source (seconds); 0: unknown.
         source_wait: f64,
-        /// Load report, empty if none.
+        /// The node's load report; empty if there is none.
         load: Vec<f64>,
     },
-    /// The request is over without an answer of ours.
+    /// The request ended without an answer from the director.
     Expired {
         /// The request.
         request: RequestId,
     },
     /// A timer fired.
-    Alarm {
-        /// The number given when it was set.
+    TimerFired {
+        /// The token that it was set with.
         token: u64,
     },
     /// A probe ended.
-    Probed {
+    ProbeEnd {
         /// The node.
         node: NodeId,
         /// How it ended.
         outcome: Outcome,
-        /// Seconds since it went out.
+        /// Seconds since it was sent.
         took: f64,
-        /// Load report, empty if none.
+        /// The node's load report; empty if there is none.
         load: Vec<f64>,
     },
-    /// A peer's message.
+    /// A message from a peer.
     Message {
         /// The sender.
         from: PeerId,
         /// Its content.
         content: Vec<u8>,
     },
-    /// Copies of an object (or of a whole group) are out of date.
+    /// The copies of an object, or of a whole group, are invalid.
     Purged {
-        /// The object; none: the whole group.
+        /// The object; `None`: the whole group.
         object: Option<ObjectId>,
         /// The group.
         group: GroupId,
@@ -400,44 +400,44 @@
     },
 }
 
-/// What a fill may do, besides its source and rank.
+/// Options of a fill besides its source and rank.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct FillOptions {
-    /// Wait for a fill that runs already.
+    /// Wait for a fill of the same object that is in progress.
     pub join: bool,
-    /// The source gives only what it holds.
-    pub held_only: bool,
+    /// The source answers from its own copy only.
+    pub only_if_cached: bool,
     /// The parent keeps no copy.
     pub no_parent_copy: bool,
-    /// Serve an ageing copy and renew it behind.
-    pub renew: bool,
+    /// Serve an ageing copy and revalidate it in the background.
+    pub revalidate: bool,
 }
 
-/// What the director wants done.
+/// An action that the director requests.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// An attempt that may fill.
+    /// Send an attempt, which may fill the cache.
     Fetch {
         /// The request.
         request: RequestId,
         /// The edge cache (or parent or origin, where direct attempts are allowed).
         node: NodeId,
-        /// Time-out in seconds; 0: until the client gives up.
+        /// Timeout in seconds; 0: until the client gives up.
         within: f64,
         /// Source of the fill; the node itself: no fill.
         source: NodeId,
         /// Rank at which the copy is kept; 0: none.
         rank: u8,
-        /// Oldest copy that will do, in seconds; 0: the class's fresh time.
+        /// Greatest age of an acceptable copy, in seconds; 0: the class's freshness lifetime.
         age: f64,
         /// Further options.
         options: FillOptions,
     },
-    /// Final answer: turned away; trying again is harmless.
+    /// Final answer: refused; a retry is safe.
     Refuse {
         /// The request.
         request: RequestId,
-        /// When to come back, in seconds; 0: no advice.
+        /// Seconds after which to retry; 0: no advice.
         wait: f64,
     },
     /// Final answer: failed.
@@ -445,35 +445,35 @@
         /// The request.
         request: RequestId,
     },
-    /// Quit waiting on an attempt.
+    /// Cancel an attempt.
     Cancel {
         /// The request.
         request: RequestId,
-        /// Which attempt.
+        /// The attempt's number.
         attempt: u16,
     },
-    /// Ask for an [`Event::Alarm`].
-    Alarm {
-        /// Given back.
+    /// Set a timer, which ends in an [`Event::TimerFired`].
+    SetTimer {
+        /// Returned with the event.
         token: u64,
         /// Seconds from now.
         after: f64,
     },
-    /// Check on a node.
+    /// Probe a node.
     Probe {
         /// The node.
         node: NodeId,
     },
-    /// Send a message.
-    Tell {
-        /// To whom; none: to every peer.
+    /// Send a message to one or all peers.
+    SendMessage {
+        /// The recipient; `None`: every peer.
         to: Option<PeerId>,
-        /// Its content, 256 bytes at most.
+        /// Its content, at most 256 bytes.
         content: Vec<u8>,
     },
-    /// Subscribe to changes of the list, or stop.
+    /// Subscribe to changes of the list, or unsubscribe.
     Watch {
-        /// On or off.
+        /// Whether to subscribe.
         on: bool,
     },
     /// Ask for the whole list once.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -11,7 +11,7 @@
 //! use onyxyoke::interface::*;
 //! use onyxyoke::Director;
 //!
-//! let mut settings = Settings { origin_kind: 2, most_tries: 4, ..Settings::default() };
+//! let mut settings = Settings { origin_kind: 2, max_attempts: 4, ..Settings::default() };
 //! settings.classes.push(Class { aim: 0.5, deadline: 3.0, ..Class::default() });
 //! let edge = Node { id: NodeId(7), ..Node::default() };
 //! let origin = Node { id: NodeId(1), kind: 2, ..Node::default() };
--- a/src/main.rs
+++ b/src/main.rs
@@ -288,7 +288,7 @@
         numbers: Rc::default(),
         // Clients hold a third at most; what they have just closed may not be gone here yet.
         connections: config.sockets * 2 / 5 / listeners.all().count().max(1),
-        wait: config.settings.max_wait,
+        wait: config.settings.max_retry_after,
         listening: ListenerState::new(),
         served: JoinSet::new(),
     };
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -55,7 +55,7 @@
         }
         for node in nodes {
             match node.state {
-                NodeState::Gone => self.told.remove(&node.id),
+                NodeState::Withdrawn => self.told.remove(&node.id),
                 _ => self.told.insert(node.id, *node),
             };
         }
--- a/src/membership/model.rs
+++ b/src/membership/model.rs
@@ -32,7 +32,7 @@
 }
 
 fn node(id: u8, state: u8) -> Node {
-    let state = [NodeState::Ready, NodeState::Draining, NodeState::Gone][usize::from(state)];
+    let state = [NodeState::Ready, NodeState::Draining, NodeState::Withdrawn][usize::from(state)];
     Node { id: NodeId(id.into()), state, ..Node::default() }
 }
 
@@ -55,7 +55,7 @@
                         }
                         for n in &nodes {
                             match n.state {
-                                NodeState::Gone => listed.remove(&n.id),
+                                NodeState::Withdrawn => listed.remove(&n.id),
                                 state => listed.insert(n.id, state),
                             };
                         }
--- a/src/net/clients.rs
+++ b/src/net/clients.rs
@@ -43,7 +43,7 @@
 impl Front {
     /// Takes memory for a request and for its body, which it has from then on.
     fn hold(&self, mut ask: ClientRequest, body: &[u8]) -> Result<ClientRequest, Refused> {
-        ask.hold(&self.memory, self.classes.never_kept(ask.class), body.len())?;
+        ask.hold(&self.memory, self.classes.uncacheable(ask.class), body.len())?;
         ask.body = body.to_vec();
         Ok(ask)
     }
--- a/src/net/clients/session.rs
+++ b/src/net/clients/session.rs
@@ -156,7 +156,7 @@
         let resp::Pending { tag, class, body, total } = resp::pending(input.bytes())?;
         let front = &self.front;
         let class = front.classes.get(class);
-        let precious = class.is_some_and(|c| front.classes.never_kept(c));
+        let precious = class.is_some_and(|c| front.classes.uncacheable(c));
         input.set_room(|| front.memory.empty(AccountOwner { precious, ..AccountOwner::of(Purpose::Bodies) }));
         let admitted = self.open.len() < OPEN_MOST && front.memory.admits(body, precious);
         if admitted && input.reserve(total - input.len()).is_ok() || self.open.contains_key(&tag) {
--- a/src/net/exchange.rs
+++ b/src/net/exchange.rs
@@ -131,7 +131,7 @@
     pub fn cancel(&mut self, now: f64, ticket: Ticket) -> Option<Report> {
         if let Some(at) = self.waiting.iter().position(|order| order.ticket == ticket) {
             self.waiting.remove(at);
-            return Some(ended_without_answer(ticket, Outcome::Moot));
+            return Some(ended_without_answer(ticket, Outcome::NotSent));
         }
         let (call, request) = self.in_flight.withdraw(ticket)?;
         // Guards against a machine that has vanished: its connections stay open and say nothing, and the
--- a/src/net/exchange/in_flight.rs
+++ b/src/net/exchange/in_flight.rs
@@ -20,7 +20,7 @@
     /// A copy made before is too old (Unix seconds).
     pub(super) oldest: f64,
     /// It runs anew each time, and what it gives is no copy.
-    pub(super) never_kept: bool,
+    pub(super) uncacheable: bool,
     /// The client holds a copy, so that its tag alone may be answered.
     pub(super) client_has_copy: bool,
     /// Whose request it is, for the accounts.
@@ -35,7 +35,7 @@
             ticket: order.ticket,
             written_at,
             oldest: order.oldest,
-            never_kept: order.never_kept,
+            uncacheable: order.uncacheable,
             client_has_copy: order.ask.have.is_some(),
             team: order.ask.team,
             client_unread: order.ask.reader.clone(),
@@ -44,7 +44,7 @@
 
     /// The account that holds memory for its answer.
     pub(super) fn account(&self, purpose: Purpose) -> AccountOwner {
-        AccountOwner { purpose, team: self.team, precious: self.never_kept }
+        AccountOwner { purpose, team: self.team, precious: self.uncacheable }
     }
 }
 
--- a/src/net/exchange/incoming.rs
+++ b/src/net/exchange/incoming.rs
@@ -97,7 +97,7 @@
         let reads = |unread: &Rc<Cell<usize>>| {
             unread.get() <= CLIENT_UNREAD_LIMIT_BYTES && self.memory.may_read(unread.get())
         };
-        if !request.never_kept && !request.client_unread.as_ref().is_none_or(reads) {
+        if !request.uncacheable && !request.client_unread.as_ref().is_none_or(reads) {
             return Admission::SlowClient;
         }
         let content = layout.line + layout.length.unwrap_or(0);
--- a/src/net/exchange/receive.rs
+++ b/src/net/exchange/receive.rs
@@ -119,7 +119,7 @@
     }
     // A copy that cannot be told from others, or whose age is untold, is a spoilt one.
     let is_identified = !answer.etag.is_empty() && answer.made.is_some();
-    let must_be_identified = answer.valid || !request.never_kept;
+    let must_be_identified = answer.valid || !request.uncacheable;
     if outcome == Outcome::Ok && must_be_identified && !is_identified {
         return Err(Unreadable("a copy without its tag or time"));
     }
--- a/src/net/exchange/send.rs
+++ b/src/net/exchange/send.rs
@@ -28,7 +28,7 @@
         {
             let patience_ms = ((order.due - now) * 1000.0) as u64;
             if patience_ms == 0 || !order.may_be_sent(now) {
-                report(ended_without_answer(order.ticket, Outcome::Moot));
+                report(ended_without_answer(order.ticket, Outcome::NotSent));
                 continue;
             }
             if !self.encode_order(&order, patience_ms, out) {
@@ -42,7 +42,7 @@
     /// Encodes an order, if there is memory for it.
     fn encode_order(&self, order: &Order, patience_ms: u64, out: &mut Buffer) -> bool {
         let account =
-            AccountOwner { purpose: Purpose::Bodies, team: order.ask.team, precious: order.never_kept };
+            AccountOwner { purpose: Purpose::Bodies, team: order.ask.team, precious: order.uncacheable };
         out.set_room(|| self.memory.empty(account));
         lines::serve(out, order, patience_ms)
     }
--- a/src/net/frames.rs
+++ b/src/net/frames.rs
@@ -63,7 +63,7 @@
     let state = match r[10] {
         0 => NodeState::Ready,
         1 => NodeState::Draining,
-        2 => NodeState::Gone,
+        2 => NodeState::Withdrawn,
         _ => return Err(Unreadable("a record with an unknown state")),
     };
     let node = Node {
--- a/src/net/lines.rs
+++ b/src/net/lines.rs
@@ -55,7 +55,7 @@
     }
     let o = order.options;
     let flags =
-        [(o.join, "merge"), (o.held_only, "local"), (o.no_parent_copy, "skip"), (o.renew, "revalidate")];
+        [(o.join, "merge"), (o.only_if_cached, "local"), (o.no_parent_copy, "skip"), (o.revalidate, "revalidate")];
     let mut mark = ",flags=";
     for (_, word) in flags.iter().filter(|f| f.0) {
         let _ = write!(line, "{mark}{word}");
@@ -122,7 +122,7 @@
         "NONE" => Some(Outcome::Miss),
         "SHED" => Some(Outcome::Full),
         "FAULT" => Some(Outcome::Error),
-        "LATE" => Some(Outcome::Moot),
+        "LATE" => Some(Outcome::NotSent),
         _ => None,
     };
     let valid = word == "VALID";
@@ -160,11 +160,11 @@
         "TCP_MISS" => Note::Filled,
         "TCP_MISS_ROOT" => Note::FilledFromOrigin,
         "TCP_JOIN" => Note::Joined,
-        "TCP_STALE" => Note::Old,
+        "TCP_STALE" => Note::Stale,
         "PEER_DENY" => Note::SourceRefused,
         "PEER_DEAD" => Note::SourceFailed,
-        "PEER_MISS" => Note::SourceLacks,
-        "FILL_FULL" => Note::NoFillPlace,
+        "PEER_MISS" => Note::SourceMiss,
+        "FILL_FULL" => Note::NoFillSlot,
         "ROOT_FAIL" => Note::OriginFailed,
         _ => Note::None,
     }
--- a/src/net/model/exchange.rs
+++ b/src/net/model/exchange.rs
@@ -48,7 +48,7 @@
     ("NONE", Outcome::Miss),
     ("SHED", Outcome::Full),
     ("FAULT", Outcome::Error),
-    ("LATE", Outcome::Moot),
+    ("LATE", Outcome::NotSent),
 ];
 
 /// An attempt as the model sees it.
@@ -181,7 +181,7 @@
         if let Some(id) = self.pick(which / 2, &state) {
             self.reports.extend(self.exchange.cancel(self.now, ticket(id)));
             if state == State::Waiting {
-                self.expected.insert(id, Outcome::Moot);
+                self.expected.insert(id, Outcome::NotSent);
             } else {
                 self.set_state(id, State::Cancelled(None));
             }
@@ -229,7 +229,7 @@
     fn check_first_order(&mut self, taken: bool, before: usize) -> Result<Option<u32>, TestCaseError> {
         for (id, attempt) in self.attempts.iter().filter(|(_, attempt)| attempt.state == State::Waiting) {
             if ((attempt.due - self.now) * 1000.0) as u64 == 0 {
-                self.expected.insert(*id, Outcome::Moot);
+                self.expected.insert(*id, Outcome::NotSent);
                 continue;
             }
             let name = attempt.name();
--- a/src/net/model/parsers.rs
+++ b/src/net/model/parsers.rs
@@ -19,7 +19,7 @@
     assert_eq!(o.ask.have, None, "an odd call");
     assert_eq!(std::str::from_utf8(out.bytes()), Ok(line));
     out.consume(line.len());
-    o.options = FillOptions { join: true, held_only: true, ..FillOptions::default() };
+    o.options = FillOptions { join: true, only_if_cached: true, ..FillOptions::default() };
     (o.source, o.rank, o.age, o.class) = (None, 0, 0.0, "holds".into());
     let (body, key, have) = (b"a\r\nb".to_vec(), Some("k1".into()), Some("e1".into()));
     let (call, asset) = (o.ask.call.clone(), o.ask.asset.clone());
--- a/src/net/model/session.rs
+++ b/src/net/model/session.rs
@@ -14,7 +14,7 @@
 
 pub(super) fn session(memory: Ledger) -> Session {
     let class = |effect| Class { deadline: 5.0, effect, ..Class::default() };
-    let classes = [class(Effect::Safe), Class { never_kept: true, ..class(Effect::Keyed(Scope::All)) }];
+    let classes = [class(Effect::Safe), Class { uncacheable: true, ..class(Effect::Keyed(Scope::All)) }];
     let (asks, _) = tokio::sync::mpsc::channel(1);
     let front = Front {
         asks,
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -83,7 +83,7 @@
             self.forget_absent(members);
         }
         for member in members {
-            let address = Some(member.address).filter(|_| member.node.state != NodeState::Gone);
+            let address = Some(member.address).filter(|_| member.node.state != NodeState::Withdrawn);
             self.nodes.entry(member.node.id).or_default().move_to(address);
         }
         self.nodes.retain(|_, connections| connections.is_in_use());
@@ -102,7 +102,7 @@
     /// found it neither there nor on another connection.
     fn resend(&mut self, order: Order) {
         match self.cancelled.contains(&order.ticket) {
-            true => self.context.report(ended_without_answer(order.ticket, Outcome::Moot)),
+            true => self.context.report(ended_without_answer(order.ticket, Outcome::NotSent)),
             false => self.send(order),
         }
     }
@@ -123,8 +123,8 @@
     /// there is room for it and memory.
     fn connection_for(&mut self, order: &Order) -> Result<&ConnectionHandle, Outcome> {
         let total = self.total_with_room_for(order.node);
-        let connections = self.nodes.get_mut(&order.node).ok_or(Outcome::Moot)?;
-        let address = connections.address().ok_or(Outcome::Moot)?;
+        let connections = self.nodes.get_mut(&order.node).ok_or(Outcome::NotSent)?;
+        let address = connections.address().ok_or(Outcome::NotSent)?;
         let limits = self.context.limits;
         connections.forget_closed();
         let least_loaded = connections.least_loaded(&order.ask.call, limits.streams);
--- a/src/net/pool/tests.rs
+++ b/src/net/pool/tests.rs
@@ -33,7 +33,7 @@
         options: FillOptions::default(),
         due: clock::now() + 60.0,
         oldest: 0.0,
-        never_kept: false,
+        uncacheable: false,
         returned: 0,
         called_off: Rc::default(),
         begin_by: f64::INFINITY,
@@ -101,7 +101,7 @@
         send.send(at(new.local_addr().unwrap())).unwrap();
         send.send(cancel(1)).unwrap();
         let Some(Report::Ended { outcome, .. }) = reported.recv().await else { panic!("it was written") };
-        assert_eq!(outcome, Outcome::Moot);
+        assert_eq!(outcome, Outcome::NotSent);
     });
 }
 
@@ -183,13 +183,13 @@
             send.send(Command::Send(fourth)).unwrap();
             send.send(cancel(4)).unwrap();
             let Some(Report::Ended { ticket, outcome, .. }) = reported.recv().await else { panic!() };
-            assert_eq!((ticket.request, outcome), (RequestId(4), Outcome::Moot));
+            assert_eq!((ticket.request, outcome), (RequestId(4), Outcome::NotSent));
             turn(&third);
             let read = tokio::task::spawn_local(sent(stream));
             let Some(Report::Ended { ticket, outcome, .. }) = reported.recv().await else {
                 panic!("{what}: it was written")
             };
-            assert_eq!((ticket.request, outcome), (RequestId(3), Outcome::Moot), "{what}");
+            assert_eq!((ticket.request, outcome), (RequestId(3), Outcome::NotSent), "{what}");
             read.abort();
         });
     }
@@ -205,7 +205,7 @@
         let late = Order { begin_by: clock::now(), ..order(1, 0) };
         send.send(Command::Send(late)).unwrap();
         let Some(Report::Ended { outcome, .. }) = reported.recv().await else { panic!("it was written") };
-        assert_eq!(outcome, Outcome::Moot);
+        assert_eq!(outcome, Outcome::NotSent);
         send.send(Command::Send(Order { begin_by: clock::now() + 60.0, ..order(2, 0) })).unwrap();
         assert!(matches!(reported.recv().await, Some(Report::Written(_))));
     });
--- a/src/routing/beliefs.rs
+++ b/src/routing/beliefs.rs
@@ -1,37 +1,38 @@
-//! Which edge caches were seen to hold an object's part, and when: a table made for the job.
+//! The beliefs of a director: which edge caches were seen to hold an object's part, and when.
 //!
-//! Every belief is a slot of 24 bytes in one of `GENERATIONS` open-addressed tables. A generation takes what is seen
-//! in its span of time; the oldest is emptied as a whole and used again, so that ageing costs nothing for each
-//! belief, and what is forgotten first is what was seen longest ago. A further generation also begins early where the
-//! newest is full and may not grow. All of a key's beliefs lie in one run of slots, wherever they stand in it.
+//! Every belief is a slot of 24 bytes in one of `GENERATIONS` open-addressed tables. A generation takes the
+//! beliefs of one span of time; the oldest is emptied as a whole and reused, so that ageing costs nothing per
+//! belief and the oldest beliefs are forgotten first. A new generation also begins early where the newest
+//! table is full and may not grow. All beliefs of a key lie in one probe sequence, at any position in it.
 
 use crate::interface::{NodeId, ObjectId};
 
-/// Tables of successive spans. With four, what was seen in a span is kept for three more.
+/// Tables of successive spans. With four, a belief is kept for the rest of its span and three more.
 const GENERATIONS: usize = 4;
 /// Slots of a new table.
-const LEAST: usize = 64;
-/// Most slots of a table: all of them hold 98,000 beliefs.
-const MOST: usize = 1 << 15;
-/// Room for times before a generation began (seconds): what was seen longer ago counts as seen then.
-const BEFORE: f64 = 120.0;
-
-/// Empty, and taken back; other times are milliseconds from the generation's base, and this.
+const MIN_SLOTS: usize = 64;
+/// Most slots of a table: all tables together hold 98,000 beliefs.
+const MAX_SLOTS: usize = 1 << 15;
+/// How far the base of a generation lies before its start (seconds); earlier times are stored as the base.
+const BASE_OFFSET: f64 = 120.0;
+
+/// Stamp of an empty slot, and of one whose belief was removed. Other stamps are milliseconds since the
+/// generation's base, plus `FIRST_STAMP`.
 const EMPTY: u32 = 0;
-const GONE: u32 = 1;
-const FIRST: u32 = 2;
+const REMOVED: u32 = 1;
+const FIRST_STAMP: u32 = 2;
 
 #[derive(Clone, Copy, Default)]
 struct BeliefSlot {
     object: u64,
     node: u64,
     part: u32,
-    at: u32,
+    stamp: u32,
 }
 
 #[derive(Default)]
 struct Generation {
-    /// A power of two of them, or none yet.
+    /// A power of two of slots, or none yet.
     slots: Vec<BeliefSlot>,
     /// Slots that are not empty.
     used: usize,
@@ -43,8 +44,8 @@
         slots * size_of::<BeliefSlot>()
     }
 
-    /// The places of a key's run, up to its first empty slot, which ends it.
-    fn run(&self, hash: u64) -> impl Iterator<Item = usize> + use<> {
+    /// Returns the indices of a key's probe sequence. Its first empty slot ends it.
+    fn probe(&self, hash: u64) -> impl Iterator<Item = usize> + use<> {
         let mask = self.slots.len().wrapping_sub(1);
         let first = if self.slots.is_empty() { 0 } else { hash as usize & mask };
         (0..self.slots.len()).map(move |i| (first + i) & mask)
@@ -56,42 +57,43 @@
         } else {
             self.slots.fill(BeliefSlot::default());
         }
-        (self.used, self.base) = (0, now - BEFORE);
+        (self.used, self.base) = (0, now - BASE_OFFSET);
     }
 
-    /// A time as it is kept: rounded down, so that a belief never seems younger than it is.
+    /// Returns the stamp of a time, rounded down, so that a belief never seems younger than it is.
     fn stamp(&self, at: f64) -> u32 {
-        ((at - self.base).max(0.0) * 1000.0).min(f64::from(u32::MAX - FIRST)) as u32 + FIRST
+        ((at - self.base).max(0.0) * 1000.0).min(f64::from(u32::MAX - FIRST_STAMP)) as u32 + FIRST_STAMP
     }
 
     fn time(&self, stamp: u32) -> f64 {
-        self.base + f64::from(stamp - FIRST) / 1000.0
+        self.base + f64::from(stamp - FIRST_STAMP) / 1000.0
     }
 }
 
 /// All beliefs of one director.
 pub struct Beliefs {
     seed: u64,
-    /// Seconds that one generation takes.
+    /// Length of one generation's span (seconds).
     span: f64,
-    /// The newest is the last.
+    /// From the oldest to the newest.
     generations: [Generation; GENERATIONS],
-    began: f64,
-    /// Bytes that all tables may take, and what they would like to.
-    allowed: usize,
+    begun_at: f64,
+    /// Bytes that all tables may take.
+    limit: usize,
+    /// Bytes that they need to grow; 0 where none had to.
     wanted: usize,
 }
 
 impl Beliefs {
-    /// No beliefs yet; each is kept for `age` seconds at least, unless memory is short. The seed keys the hash, so
-    /// that nobody can choose objects that share a run.
+    /// Creates an empty table. A belief is kept for at least `age` seconds, unless memory is short. The seed
+    /// keys the hash, so that nobody can choose objects that share a probe sequence.
     pub fn new(seed: u64, age: f64) -> Self {
         Beliefs {
             seed,
             span: age / (GENERATIONS - 1) as f64,
             generations: Default::default(),
-            began: f64::MIN,
-            allowed: GENERATIONS * Generation::bytes(MOST),
+            begun_at: f64::MIN,
+            limit: GENERATIONS * Generation::bytes(MAX_SLOTS),
             wanted: 0,
         }
     }
@@ -104,123 +106,127 @@
         (again as u64) ^ (again >> 64) as u64
     }
 
-    /// Calls with every believed holder and when it was seen, the longest ago first.
-    pub fn each(&self, object: ObjectId, part: u32, mut call: impl FnMut(NodeId, f64)) {
+    /// Calls `call` with every believed holder of a part and when it was seen, from the oldest generation to
+    /// the newest.
+    pub fn for_each_holder(&self, object: ObjectId, part: u32, mut call: impl FnMut(NodeId, f64)) {
         let hash = self.hash(object, part);
         for g in &self.generations {
-            for slot in g.run(hash).map(|i| &g.slots[i]).take_while(|s| s.at != EMPTY) {
-                if slot.at >= FIRST && (slot.object, slot.part) == (object.0, part) {
-                    call(NodeId(slot.node), g.time(slot.at));
+            for slot in g.probe(hash).map(|i| &g.slots[i]).take_while(|s| s.stamp != EMPTY) {
+                if slot.stamp >= FIRST_STAMP && (slot.object, slot.part) == (object.0, part) {
+                    call(NodeId(slot.node), g.time(slot.stamp));
                 }
             }
         }
     }
 
-    /// A node was seen to hold a part at `since`; what was believed of the two before is replaced.
+    /// Records that a node was seen to hold a part at `since`, in place of any earlier belief about the two.
     pub fn believe(&mut self, now: f64, object: ObjectId, part: u32, node: NodeId, since: f64) {
         self.disbelieve(object, part, node);
-        if self.began == f64::MIN || now >= self.began + self.span {
+        if self.begun_at == f64::MIN || now >= self.begun_at + self.span {
             self.begin(now);
-        } else if !self.has_room() {
+        } else if !self.newest_has_room() {
             self.grow(now);
         }
-        self.ask_early();
+        self.request_growth();
         let hash = self.hash(object, part);
         let g = &mut self.generations[GENERATIONS - 1];
-        let at = g.stamp(since);
-        if let Some(i) = g.run(hash).find(|&i| g.slots[i].at < FIRST) {
-            g.used += usize::from(g.slots[i].at == EMPTY);
-            g.slots[i] = BeliefSlot { object: object.0, node: node.0, part, at };
+        let stamp = g.stamp(since);
+        if let Some(i) = g.probe(hash).find(|&i| g.slots[i].stamp < FIRST_STAMP) {
+            g.used += usize::from(g.slots[i].stamp == EMPTY);
+            g.slots[i] = BeliefSlot { object: object.0, node: node.0, part, stamp };
         }
     }
 
-    /// A node was seen not to hold a part.
+    /// Removes the belief that a node holds a part.
     pub fn disbelieve(&mut self, object: ObjectId, part: u32, node: NodeId) {
         let hash = self.hash(object, part);
         for g in &mut self.generations {
             let same =
-                |s: &BeliefSlot| (s.object, s.part, s.node) == (object.0, part, node.0) && s.at >= FIRST;
-            let mut run = g.run(hash).take_while(|&i| g.slots[i].at != EMPTY);
-            if let Some(i) = run.find(|&i| same(&g.slots[i])) {
-                g.slots[i].at = GONE;
+                |s: &BeliefSlot| (s.object, s.part, s.node) == (object.0, part, node.0) && s.stamp >= FIRST_STAMP;
+            let mut probe = g.probe(hash).take_while(|&i| g.slots[i].stamp != EMPTY);
+            if let Some(i) = probe.find(|&i| same(&g.slots[i])) {
+                g.slots[i].stamp = REMOVED;
             }
         }
     }
 
-    /// A run must stay short: three quarters of the newest table are used at most.
-    fn has_room(&self) -> bool {
+    /// Returns whether at most three quarters of the newest table are used, which keeps probe sequences
+    /// short.
+    fn newest_has_room(&self) -> bool {
         let g = &self.generations[GENERATIONS - 1];
         g.used * 4 < g.slots.len() * 3
     }
 
-    /// Asks for a doubling of the newest table well before it must be, so that it can be granted meanwhile.
-    fn ask_early(&mut self) {
+    /// Requests memory to double the newest table well before that is necessary, so that it can be granted
+    /// meanwhile.
+    fn request_growth(&mut self) {
         let g = &self.generations[GENERATIONS - 1];
         let bytes = self.footprint() + Generation::bytes(g.slots.len());
-        if g.used * 2 >= g.slots.len() && g.slots.len() < MOST && bytes > self.allowed {
+        if g.used * 2 >= g.slots.len() && g.slots.len() < MAX_SLOTS && bytes > self.limit {
             self.wanted = bytes;
         }
     }
 
-    /// Begins a generation in the oldest's place, as large as the one before has come to need.
+    /// Begins a generation in place of the oldest, with the size that the previous one came to need.
     fn begin(&mut self, now: f64) {
         let last = &self.generations[GENERATIONS - 1];
-        let needed = (last.used * 3 / 2).next_power_of_two().clamp(LEAST, MOST);
+        let needed = (last.used * 3 / 2).next_power_of_two().clamp(MIN_SLOTS, MAX_SLOTS);
         self.generations.rotate_left(1);
         let mut slots = needed;
         for oldest in 0..GENERATIONS - 1 {
             let others: usize = self.generations[..GENERATIONS - 1].iter().map(|g| g.slots.len()).sum();
-            while slots > LEAST && Generation::bytes(others + slots) > self.allowed {
+            while slots > MIN_SLOTS && Generation::bytes(others + slots) > self.limit {
                 slots /= 2;
             }
-            if Generation::bytes(others + slots) <= self.allowed {
+            if Generation::bytes(others + slots) <= self.limit {
                 break;
             }
             self.generations[oldest] = Generation::default();
         }
         self.generations[GENERATIONS - 1].clear(slots, now);
-        self.began = now;
+        self.begun_at = now;
     }
 
-    /// The newest is full: it is doubled, or where it may not be, the oldest is forgotten for a further one.
+    /// Doubles the newest table, which is full, or begins a new generation where it may not grow.
     fn grow(&mut self, now: f64) {
         let full = self.generations[GENERATIONS - 1].slots.len();
         let bytes = self.footprint() + Generation::bytes(full);
-        if full >= MOST || bytes > self.allowed {
+        if full >= MAX_SLOTS || bytes > self.limit {
             return self.begin(now);
         }
         let g = &mut self.generations[GENERATIONS - 1];
         let old = std::mem::replace(&mut g.slots, vec![BeliefSlot::default(); 2 * full]);
-        self.refill(old.into_iter().filter(|s| s.at >= FIRST));
+        self.fill_newest(old.into_iter().filter(|s| s.stamp >= FIRST_STAMP));
     }
 
-    /// Puts slots into the newest generation, which has no other.
-    fn refill(&mut self, slots: impl Iterator<Item = BeliefSlot>) {
+    /// Fills the newest generation, which is empty, with these slots.
+    fn fill_newest(&mut self, slots: impl Iterator<Item = BeliefSlot>) {
         self.generations[GENERATIONS - 1].used = 0;
         for slot in slots {
             let hash = self.hash(ObjectId(slot.object), slot.part);
             let g = &mut self.generations[GENERATIONS - 1];
-            if let Some(i) = g.run(hash).find(|&i| g.slots[i].at == EMPTY) {
+            if let Some(i) = g.probe(hash).find(|&i| g.slots[i].stamp == EMPTY) {
                 g.slots[i] = slot;
                 g.used += 1;
             }
         }
     }
 
-    /// Bytes that the tables take.
+    /// Returns the size of the tables in bytes.
     pub fn footprint(&self) -> usize {
         self.generations.iter().map(|g| Generation::bytes(g.slots.len())).sum()
     }
 
-    /// Bytes that they would like to take: what they do, or more where one could not grow since the last answer.
-    pub fn wanted(&self) -> usize {
+    /// Returns the bytes that the tables ask for: their size, or more if one could not grow since the limit
+    /// was set.
+    pub fn wanted_bytes(&self) -> usize {
         self.wanted.max(self.footprint())
     }
 
-    /// The answer to that: they may take so much from now on. Where they take more, the oldest are forgotten, and of
-    /// the newest what was seen longest ago; one small table is left in any case.
-    pub fn hold_to(&mut self, bytes: usize) {
-        (self.allowed, self.wanted) = (bytes, 0);
+    /// Sets the limit of the tables in bytes. Beyond it, the oldest generations are dropped, and then the
+    /// oldest beliefs of the newest; one small table is left in any case.
+    pub fn set_memory_limit(&mut self, bytes: usize) {
+        (self.limit, self.wanted) = (bytes, 0);
         for i in 0..GENERATIONS - 1 {
             if self.footprint() <= bytes {
                 return;
@@ -228,28 +234,28 @@
             self.generations[i] = Generation::default();
         }
         let mut slots = self.generations[GENERATIONS - 1].slots.len();
-        while slots > LEAST && Generation::bytes(slots) > bytes {
+        while slots > MIN_SLOTS && Generation::bytes(slots) > bytes {
             slots /= 2;
         }
         let g = &mut self.generations[GENERATIONS - 1];
         if slots < g.slots.len() {
             let mut old = std::mem::replace(&mut g.slots, vec![BeliefSlot::default(); slots]);
-            old.retain(|s| s.at >= FIRST);
+            old.retain(|s| s.stamp >= FIRST_STAMP);
             let kept = (slots / 2).min(old.len());
             if kept < old.len() {
-                old.select_nth_unstable_by_key(kept, |s| std::cmp::Reverse(s.at));
+                old.select_nth_unstable_by_key(kept, |s| std::cmp::Reverse(s.stamp));
             }
-            self.refill(old.into_iter().take(kept));
+            self.fill_newest(old.into_iter().take(kept));
         }
     }
 
-    /// How many beliefs there are.
+    /// Returns the number of beliefs.
     pub fn len(&self) -> usize {
-        let live = |g: &Generation| g.slots.iter().filter(|s| s.at >= FIRST).count();
+        let live = |g: &Generation| g.slots.iter().filter(|s| s.stamp >= FIRST_STAMP).count();
         self.generations.iter().map(live).sum()
     }
 
-    /// Are there none?
+    /// Returns whether there are no beliefs.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -265,19 +271,19 @@
 
     const AGE: f64 = 30.0;
 
-    /// What happens, to which object, part and node, and a tenth of seconds.
+    /// The kind of a step, its object, part and node, and a time in tenths of a second.
     type Step = (u8, u64, u32, u64, u8);
 
     fn held(b: &Beliefs, object: u64, part: u32) -> BTreeMap<u64, f64> {
         let mut all = BTreeMap::new();
-        b.each(ObjectId(object), part, |node, at| assert!(all.insert(node.0, at).is_none(), "a node twice"));
+        b.for_each_holder(ObjectId(object), part, |node, at| assert!(all.insert(node.0, at).is_none(), "a node twice"));
         all
     }
 
-    /// Against a plain map: nothing is believed that was not seen or was taken back, nothing seems younger than it
-    /// is, and with memory enough nothing is forgotten within its age.
+    /// Compares the table with a plain map: it holds no belief that was not recorded or was removed, none
+    /// seems younger than it is, and with enough memory none is forgotten within its age.
     #[test]
-    fn beliefs_are_those_of_a_plain_map() {
+    fn beliefs_match_a_plain_map() {
         let step = (0u8..8, 0u64..12, 0u32..3, 0u64..5, 0u8..40);
         let config = Config { cases: 300, failure_persistence: None, ..Config::default() };
         let mut runner = TestRunner::new_with_rng(config, TestRng::deterministic_rng(RngAlgorithm::ChaCha));
@@ -296,7 +302,7 @@
                         b.disbelieve(ObjectId(object), part, NodeId(node));
                         model.remove(&(object, part, node));
                     }
-                    6 if tight => b.hold_to(Generation::bytes(LEAST * (1 + usize::from(tenths) / 8))),
+                    6 if tight => b.set_memory_limit(Generation::bytes(MIN_SLOTS * (1 + usize::from(tenths) / 8))),
                     _ => now += f64::from(tenths) / 4.0,
                 }
                 let here = held(&b, object, part);
@@ -317,25 +323,25 @@
     }
 
     #[test]
-    fn tables_stay_within_what_they_are_allowed_and_ask_for_more() {
+    fn tables_stay_within_their_limit_and_ask_for_more() {
         let mut b = Beliefs::new(7, AGE);
-        let bytes = GENERATIONS * Generation::bytes(LEAST);
-        b.hold_to(bytes);
+        let bytes = GENERATIONS * Generation::bytes(MIN_SLOTS);
+        b.set_memory_limit(bytes);
         for i in 0..10_000u64 {
             b.believe(1000.0 + i as f64 / 10_000.0, ObjectId(i), 0, NodeId(1), 1000.0);
             assert!(b.footprint() <= bytes, "{i}");
         }
         assert!(held(&b, 9_999, 0).len() == 1 && held(&b, 1, 0).is_empty(), "the newest are kept");
-        assert!(b.wanted() > bytes, "it would grow if it might");
-        b.hold_to(usize::MAX);
+        assert!(b.wanted_bytes() > bytes, "it asks for memory to grow");
+        b.set_memory_limit(usize::MAX);
         for i in 0..300_000u64 {
             b.believe(1001.0, ObjectId(i), 0, NodeId(1), 1000.0);
         }
-        assert!(b.footprint() <= GENERATIONS * Generation::bytes(MOST));
+        assert!(b.footprint() <= GENERATIONS * Generation::bytes(MAX_SLOTS));
         assert!(b.len() > 70_000, "{}", b.len());
-        // Cut down, what is left is what was seen last.
+        // A lower limit leaves the newest beliefs.
         b.believe(1002.0, ObjectId(5), 5, NodeId(5), 1002.0);
-        b.hold_to(Generation::bytes(LEAST));
-        assert_eq!((b.footprint(), held(&b, 5, 5).len()), (Generation::bytes(LEAST), 1));
+        b.set_memory_limit(Generation::bytes(MIN_SLOTS));
+        assert_eq!((b.footprint(), held(&b, 5, 5).len()), (Generation::bytes(MIN_SLOTS), 1));
     }
 }
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -1,15 +1,15 @@
-//! What routes are decided by: tables made for the director, each bounded in bytes and without I/O or clock.
+//! The tables that routing decisions are based on. Each is bounded in bytes and uses neither I/O nor a clock.
 
 mod beliefs;
 mod exclusion;
 mod load;
 mod purges;
-mod silence;
 mod sizes;
+mod stalls;
 
 pub use beliefs::Beliefs;
-pub use exclusion::{COUNTS, Exclusion};
-pub use load::{Pace, Pipe, STRETCHED, fade, smooth};
-pub use purges::Purges;
-pub use silence::{Hearing, RECHECK, Standstill};
-pub use sizes::Sizes;
+pub use exclusion::{Exclusion, HOLDER_COUNTS};
+pub use load::{CachePace, FULL_LINK_SLOWDOWN, FadingCount, SharedLink, fade, smooth};
+pub use purges::{Purge, Purges};
+pub use sizes::SizeFairness;
+pub use stalls::{FrontStalls, NodeStalls, RECHECK_DELAY};
--- a/src/routing/purges.rs
+++ b/src/routing/purges.rs
@@ -1,58 +1,67 @@
-//! What was purged, for as long as copies from before may still be about. None may be forgotten before its time:
-//! where there are too many, they are folded into one that holds for everything, which asks the caches for younger
-//! copies than need be and serves no old one.
+//! Purges, for as long as caches may still hold copies from before. None may be forgotten before its time:
+//! where there are too many, they are merged into one that applies to every object, which asks the caches for
+//! younger copies than necessary and serves no old one.
 
 use crate::interface::{GroupId, ObjectId};
 use rustc_hash::FxHashMap;
 use std::collections::VecDeque;
 
-/// Most purges that are told apart.
-const MOST: usize = 16_384;
+/// Most purges that are kept apart.
+const MAX_PURGES: usize = 16_384;
 
 /// An object, or a whole group.
 type Key = Result<ObjectId, GroupId>;
 
-/// The purges that bind, each with when it was and when it was heard of (seconds).
+/// When a purge was made and when this director learned of it.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct Purge {
+    /// When it was made.
+    pub at: f64,
+    /// When this director learned of it.
+    pub learned_at: f64,
+}
+
+/// The purges that apply.
 #[derive(Default)]
 pub struct Purges {
-    facts: FxHashMap<Key, (f64, f64)>,
-    /// The keys, with when they stop to bind, in that order.
+    by_key: FxHashMap<Key, Purge>,
+    /// The keys with the times until which they apply, in that order.
     order: VecDeque<(f64, Key)>,
-    /// What holds for everything, and until when.
-    all: Option<((f64, f64), f64)>,
+    /// The merged purge that applies to every object, and until when.
+    merged: Option<(Purge, f64)>,
 }
 
 impl Purges {
-    /// A purge made at `at` is heard of, and binds for `keep` seconds. News may come out of order: the latest purge
-    /// counts.
-    pub fn heard(&mut self, now: f64, key: Key, at: f64, keep: f64) {
-        let fact = self.facts.entry(key).or_insert((f64::MIN, now));
-        *fact = (fact.0.max(at), now);
+    /// Records a purge made at `at`, which applies for `keep` seconds. They may arrive out of order; the
+    /// latest counts.
+    pub fn record(&mut self, now: f64, key: Key, at: f64, keep: f64) {
+        let purge = self.by_key.entry(key).or_insert(Purge { at: f64::MIN, learned_at: now });
+        *purge = Purge { at: purge.at.max(at), learned_at: now };
         self.order.push_back((now + keep, key));
         while let Some((_, key)) = self.order.pop_front_if(|p| p.0 <= now) {
-            if self.facts.get(&key).is_some_and(|f| f.1 + keep <= now) {
-                self.facts.remove(&key);
+            if self.by_key.get(&key).is_some_and(|p| p.learned_at + keep <= now) {
+                self.by_key.remove(&key);
             }
         }
-        self.all = self.all.filter(|(_, until)| *until > now);
-        if self.order.len() > MOST {
-            let latest =
-                self.facts.values().map(|f| f.0).chain(self.all.map(|a| a.0.0)).fold(f64::MIN, f64::max);
-            self.all = Some(((latest, now), now + keep));
-            (self.facts, self.order) = Default::default();
+        self.merged = self.merged.filter(|(_, until)| *until > now);
+        if self.order.len() > MAX_PURGES {
+            let all = self.by_key.values().chain(self.merged.iter().map(|m| &m.0));
+            let at = all.map(|p| p.at).fold(f64::MIN, f64::max);
+            self.merged = Some((Purge { at, learned_at: now }, now + keep));
+            (self.by_key, self.order) = Default::default();
         }
     }
 
-    /// The latest purge of an object or its group: when it was, and when it was heard of.
-    pub fn of(&self, object: ObjectId, group: GroupId) -> Option<(f64, f64)> {
-        let facts = [self.facts.get(&Ok(object)), self.facts.get(&Err(group))];
-        let facts = facts.into_iter().flatten().copied().chain(self.all.map(|a| a.0));
-        facts.reduce(|a, b| (a.0.max(b.0), a.1.max(b.1)))
+    /// Returns the latest purge that applies to an object or its group.
+    pub fn latest(&self, object: ObjectId, group: GroupId) -> Option<Purge> {
+        let purges = [self.by_key.get(&Ok(object)), self.by_key.get(&Err(group))];
+        let purges = purges.into_iter().flatten().copied().chain(self.merged.map(|m| m.0));
+        purges.reduce(|a, b| Purge { at: a.at.max(b.at), learned_at: a.learned_at.max(b.learned_at) })
     }
 
-    /// Bytes that it takes.
+    /// Returns its size in bytes.
     pub fn footprint(&self) -> usize {
-        self.facts.capacity() * 8 / 7 * (size_of::<(Key, (f64, f64))>() + 1)
+        self.by_key.capacity() * 8 / 7 * (size_of::<(Key, Purge)>() + 1)
             + self.order.capacity() * size_of::<(f64, Key)>()
     }
 }
@@ -61,29 +70,34 @@
 mod tests {
     use super::*;
 
+    fn times(purge: Option<Purge>) -> Option<(f64, f64)> {
+        purge.map(|p| (p.at, p.learned_at))
+    }
+
     #[test]
-    fn purges_bind_for_their_time_and_the_latest_counts() {
+    fn purges_apply_for_their_time_and_the_latest_counts() {
         let (mut p, group) = (Purges::default(), GroupId(3));
-        p.heard(100.0, Ok(ObjectId(1)), 99.0, 30.0);
-        p.heard(101.0, Ok(ObjectId(1)), 98.0, 30.0);
-        assert_eq!(p.of(ObjectId(1), group), Some((99.0, 101.0)));
-        assert_eq!(p.of(ObjectId(2), group), None);
-        p.heard(102.0, Err(group), 102.0, 30.0);
-        assert_eq!(p.of(ObjectId(2), group), Some((102.0, 102.0)));
-        p.heard(131.0, Ok(ObjectId(9)), 131.0, 30.0);
-        assert_eq!((p.of(ObjectId(1), GroupId(0)), p.of(ObjectId(2), group)), (None, Some((102.0, 102.0))));
+        p.record(100.0, Ok(ObjectId(1)), 99.0, 30.0);
+        p.record(101.0, Ok(ObjectId(1)), 98.0, 30.0);
+        assert_eq!(times(p.latest(ObjectId(1), group)), Some((99.0, 101.0)));
+        assert_eq!(p.latest(ObjectId(2), group), None);
+        p.record(102.0, Err(group), 102.0, 30.0);
+        assert_eq!(times(p.latest(ObjectId(2), group)), Some((102.0, 102.0)));
+        p.record(131.0, Ok(ObjectId(9)), 131.0, 30.0);
+        assert_eq!(p.latest(ObjectId(1), GroupId(0)), None);
+        assert_eq!(times(p.latest(ObjectId(2), group)), Some((102.0, 102.0)));
     }
 
-    /// Guards against a storm that would fill the memory, and against forgetting one of its purges.
+    /// Guards against a storm of purges that fills the memory, and against the loss of one of them.
     #[test]
-    fn a_storm_is_folded_into_one_that_holds_for_all() {
+    fn a_storm_of_purges_is_merged_into_one_for_every_object() {
         let mut p = Purges::default();
-        for i in 0..40 * MOST as u64 {
-            p.heard(100.0 + i as f64 * 1e-6, Ok(ObjectId(i)), 100.0, 30.0);
+        for i in 0..40 * MAX_PURGES as u64 {
+            p.record(100.0 + i as f64 * 1e-6, Ok(ObjectId(i)), 100.0, 30.0);
         }
         assert!(p.footprint() < 4 << 20, "{}", p.footprint());
-        assert!((0..40 * MOST as u64).step_by(997).all(|i| p.of(ObjectId(i), GroupId(0)).is_some()));
-        p.heard(200.0, Err(GroupId(1)), 200.0, 30.0);
-        assert_eq!(p.of(ObjectId(5), GroupId(0)), None, "and it ends");
+        assert!((0..40 * MAX_PURGES as u64).step_by(997).all(|i| p.latest(ObjectId(i), GroupId(0)).is_some()));
+        p.record(200.0, Err(GroupId(1)), 200.0, 30.0);
+        assert_eq!(p.latest(ObjectId(5), GroupId(0)), None, "the merged purge ends");
     }
 }
--- a/src/signed/connection.rs
+++ b/src/signed/connection.rs
@@ -327,7 +327,7 @@
     /// Takes memory for a request and its body; what does not fit is refused before its body is read.
     fn hold(&self, mut ask: ClientRequest, body: usize) -> Admitted {
         let rules = self.front.classes.get(usize::from(ask.class.0));
-        let held = ask.hold(&self.front.memory, rules.is_some_and(|c| c.never_kept), body);
+        let held = ask.hold(&self.front.memory, rules.is_some_and(|c| c.uncacheable), body);
         held.map_err(|Refused { .. }| BUSY).map(|()| ask)
     }
 
