--- a/src/signed/mod.rs
+++ b/src/signed/mod.rs
@@ -148,8 +148,8 @@
             Err(refusal) => return denied(403, why(refusal)),
         }
         let method_fits = match &*request.method {
-            "GET" | "HEAD" => !rules.never_kept,
-            "POST" => rules.never_kept,
+            "GET" | "HEAD" => !rules.uncacheable,
+            "POST" => rules.uncacheable,
             _ => false,
         };
         if !method_fits {
--- a/src/spread/cold.rs
+++ b/src/spread/cold.rs
@@ -47,13 +47,13 @@
 impl Cold {
     /// How parents start, or caches, and how many fronts send to them, as the settings say.
     pub fn of(s: &Settings, parents: bool) -> Cold {
-        let window = s.fall_window;
+        let window = s.overload_window;
         if parents {
-            let (from, time, multiple) = (s.parent_cold_from, s.parent_cold_for, s.parent_fall_multiple);
+            let (from, time, multiple) = (s.parent_cold_start_share, s.parent_warm_up_time, s.parent_overload_multiple);
             return Cold { from, time, multiple, window, sharers: f64::from(s.directors.max(1)) };
         }
-        let (from, time, multiple) = (s.cold_from, s.cold_for, s.fall_multiple);
-        Cold { from, time, multiple, window, sharers: s.sharers() }
+        let (from, time, multiple) = (s.cold_start_share, s.warm_up_time, s.overload_multiple);
+        Cold { from, time, multiple, window, sharers: s.own_zone_directors() }
     }
 
     /// The share of its capacity that a node has by now.
--- a/src/xds.rs
+++ b/src/xds.rs
@@ -181,7 +181,7 @@
         }) {
             Some("UNKNOWN" | "HEALTHY" | "DEGRADED") => NodeState::Ready,
             Some("DRAINING") => NodeState::Draining,
-            Some("UNHEALTHY" | "TIMEOUT") => NodeState::Gone,
+            Some("UNHEALTHY" | "TIMEOUT") => NodeState::Withdrawn,
             _ => return Err("'health_status' is unknown".into()),
         };
         let weight = match field(of, "load_balancing_weight") {
@@ -419,7 +419,7 @@
         let mut members = w.roster().unwrap();
         members.sort_by_key(|m| m.address.port());
         let states: Vec<NodeState> = members.iter().map(|m| m.node.state).collect();
-        assert_eq!(states, [NodeState::Ready, NodeState::Draining, NodeState::Gone]);
+        assert_eq!(states, [NodeState::Ready, NodeState::Draining, NodeState::Withdrawn]);
         let n = members[0].node;
         assert_eq!((n.weight, n.cell, n.kind, n.zone, n.ready_at), (4.0, 2, 0, ZoneId(1), 5.0));
         // The same address with a later start is another machine.
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -13,25 +13,25 @@
         own_zone: ZoneId(2),
         directors_by_zone: vec![0, 0, 1],
         hub_of_zone: vec![ZoneId(0), ZoneId(1), ZoneId(0)],
-        zone_link: vec![0.0, 0.0, 20_000.0],
-        flow: 1000.0,
+        zone_link_kb_per_s: vec![0.0, 0.0, 20_000.0],
+        answer_kb_per_s: 1000.0,
         classes: vec![Class { aim: 0.6, aim_stretch: 2.0, deadline: 5.0, worth: 1.0, ..Class::default() }],
         parent_kind: Some(PARENT),
         origin_kind: ORIGIN,
-        sources: SiblingScope::Zone,
-        notes: Notes::All,
+        sibling_sources: SiblingScope::Zone,
+        note_detail: NoteDetail::All,
         cancel: true,
-        duplicate: true,
-        most_tries: 6,
-        max_wait: 0.5,
-        cold_from: 0.2,
-        cold_for: 10.0,
-        fall_multiple: 2.0,
-        fall_window: 1.0,
-        parent_cold_from: 0.1,
-        parent_cold_for: 20.0,
-        parent_fall_multiple: 2.0,
-        purge_settles: 6.0,
+        concurrent_attempts: true,
+        max_attempts: 6,
+        max_retry_after: 0.5,
+        cold_start_share: 0.2,
+        warm_up_time: 10.0,
+        overload_multiple: 2.0,
+        overload_window: 1.0,
+        parent_cold_start_share: 0.1,
+        parent_warm_up_time: 20.0,
+        parent_overload_multiple: 2.0,
+        purge_settle_time: 6.0,
         purge_slack: 0.3,
         answer_slack: 0.01,
         ..Settings::default()
@@ -76,7 +76,7 @@
     pub node: u64,
     pub source: u64,
     pub age: f64,
-    pub held_only: bool,
+    pub only_if_cached: bool,
     pub join: bool,
 }
 
@@ -138,7 +138,7 @@
 
     /// The alarm that was set for the first attempt of a request goes off.
     pub fn first_attempt_alarm(&mut self, request: u32) -> Vec<Action> {
-        self.event(Event::Alarm { token: u64::from(request) << 16 })
+        self.event(Event::TimerFired { token: u64::from(request) << 16 })
     }
 
     /// The deadline of a request passes.
@@ -169,7 +169,7 @@
             node: node.0,
             source: source.0,
             age,
-            held_only: options.held_only,
+            only_if_cached: options.only_if_cached,
             join: options.join,
         }),
         _ => None,
@@ -180,7 +180,7 @@
 /// How long until the first alarm that was asked for (seconds).
 pub fn alarm_delay(actions: &[Action]) -> Option<f64> {
     actions.iter().find_map(|action| match action {
-        Action::Alarm { after, .. } => Some(*after),
+        Action::SetTimer { after, .. } => Some(*after),
         _ => None,
     })
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -9,7 +9,7 @@
 /// Directors of one location that has three caches, each with a seed and a number of its own.
 fn directors(settings: &Settings, nodes: &[Node]) -> Vec<Stage> {
     let one = |me| {
-        let here = Settings { me, directors: DIRECTORS, ..settings.clone() };
+        let here = Settings { director_number: me, directors: DIRECTORS, ..settings.clone() };
         Stage::seeded(u64::from(me) + 1, here, nodes)
     };
     (0..DIRECTORS).map(one).collect()
@@ -76,7 +76,7 @@
 /// gives up before its answer can be whole has only taken a part of it from the others.
 #[test]
 fn what_its_client_will_not_wait_for_is_refused_on_a_full_link() {
-    let mut settings = Settings { zone_link: vec![0.0, 0.0, 2000.0], ..settings() };
+    let mut settings = Settings { zone_link_kb_per_s: vec![0.0, 0.0, 2000.0], ..settings() };
     settings.classes[0].aim_stretch = 1.6;
     let mut fleet = directors(&settings, &small_fleet());
     for s in &mut fleet {
@@ -106,7 +106,7 @@
         // Its own transfers and those that it takes its peers to have come to the same.
         let link = 20_000.0 * f64::from(peers);
         let here = Settings { directors: peers, directors_by_zone: vec![0, 0, peers], ..settings() };
-        let mut s = Stage::new(Settings { zone_link: vec![0.0, 0.0, link], ..here }, &small_fleet()[..2]);
+        let mut s = Stage::new(Settings { zone_link_kb_per_s: vec![0.0, 0.0, link], ..here }, &small_fleet()[..2]);
         s.list(ListKind::Delta, &[parent(20), origin(30)]);
         s.patience = 60.0;
         let mut sizes = (0..).map(|i| 100.0 * 1.1f64.powi(i));
@@ -129,7 +129,7 @@
     let fresh: Vec<Node> = (0..6)
         .map(|i| Node { weight: link, ready_at: 101.0 + f64::from(i), ..edge(40 + i as u64) })
         .collect();
-    let here = Settings { weights_told: true, directors_by_zone: vec![0, 0, DIRECTORS], ..settings() };
+    let here = Settings { weights_are_link_sizes: true, directors_by_zone: vec![0, 0, DIRECTORS], ..settings() };
     let mut sends: Vec<(u64, f64)> = Vec::new();
     let mut refusals = 0;
     for (me, mut s) in directors(&here, &all).into_iter().enumerate() {
@@ -171,7 +171,7 @@
 #[test]
 fn a_list_told_twice_or_after_a_gap_leaves_all_with_the_same_nodes() {
     let fresh = Node { ready_at: 99.0, ..edge(13) };
-    let gone = Node { state: NodeState::Gone, ..edge(12) };
+    let gone = Node { state: NodeState::Withdrawn, ..edge(12) };
     let now = vec![edge(10), edge(11), fresh, parent(20), parent(21), origin(30)];
     for (me, mut s) in directors(&settings(), &small_fleet()).into_iter().enumerate() {
         match me % 3 {
@@ -209,7 +209,7 @@
                 sent.age > 0.0 && sent.age < s.now - 150.0,
                 "a copy from before the purge would do: {sent:?}"
             );
-            assert!(!sent.held_only && sent.source >= 20, "from above: {sent:?}");
+            assert!(!sent.only_if_cached && sent.source >= 20, "from above: {sent:?}");
             *asked.entry(sent.source).or_insert(0) += 1;
             s.end(sent, 0, Outcome::Ok, Note::FilledFromOrigin, 0.15);
         }
--- a/tests/policy/admission.rs
+++ b/tests/policy/admission.rs
@@ -20,7 +20,7 @@
 #[test]
 fn a_wide_link_is_known_by_its_weight_from_the_start() {
     let refused_of_20 = |weight| {
-        let settings = Settings { weights_told: true, zone_link: vec![0.0, 0.0, 60_000.0], ..settings() };
+        let settings = Settings { weights_are_link_sizes: true, zone_link_kb_per_s: vec![0.0, 0.0, 60_000.0], ..settings() };
         let cache = Node { weight, ..edge(10) };
         let mut s = Stage::new(settings, &[cache, parent(20), origin(30)]);
         (1..=20).filter(|&o| refused(&s.ask(o, 800.0).1)).count()
@@ -32,7 +32,7 @@
 #[test]
 fn a_parent_that_is_slow_with_films_does_not_get_pages_refused() {
     let mut s = Stage::new(
-        Settings { zone_link: vec![0.0, 0.0, 3000.0], ..settings() },
+        Settings { zone_link_kb_per_s: vec![0.0, 0.0, 3000.0], ..settings() },
         &[edge(10), parent(20), origin(30)],
     );
     for object in 1..20 {
@@ -51,7 +51,7 @@
 /// were seen that refused 4% while 1% came late. Where the link is far over, the guard is strict.
 #[test]
 fn the_overload_guard_gets_strict_as_a_link_fills() {
-    let mut settings = Settings { zone_link: vec![0.0, 0.0, 2000.0], ..settings() };
+    let mut settings = Settings { zone_link_kb_per_s: vec![0.0, 0.0, 2000.0], ..settings() };
     settings.classes[0].aim_stretch = 1.6;
     let mut s = Stage::new(settings, &small_fleet());
     s.patience = 30.0;
@@ -72,7 +72,7 @@
 /// (calm+mass of our deployment `vallee-etroite`: half of the largest tenth answered).
 #[test]
 fn the_large_ones_of_a_class_are_not_refused_alone() {
-    let mut settings = Settings { zone_link: vec![0.0, 0.0, 2000.0], ..settings() };
+    let mut settings = Settings { zone_link_kb_per_s: vec![0.0, 0.0, 2000.0], ..settings() };
     settings.classes[0].aim_stretch = 1.3;
     let mut s = Stage::new(settings, &small_fleet());
     s.patience = 30.0;
@@ -98,7 +98,7 @@
 fn where_sizes_are_untold_the_first_hits_tell_pages_from_films() {
     // ibf0141: pages were taken for a third of a second of sending, and refused, until many hits had come.
     let mut s =
-        Stage::new(Settings { zone_link: Vec::new(), ..settings() }, &[edge(10), parent(20), origin(30)]);
+        Stage::new(Settings { zone_link_kb_per_s: Vec::new(), ..settings() }, &[edge(10), parent(20), origin(30)]);
     for object in 1..4 {
         let x = s.fetch(object, 0.0);
         s.end(x, 0, Outcome::Ok, Note::Hit, 0.05);
@@ -114,8 +114,8 @@
 /// as soon as a link was just full (a keyed class of our deployment `grand-large`: a third of it served).
 #[test]
 fn where_sizes_are_untold_what_is_never_kept_is_not_taken_for_a_film() {
-    let mut settings = Settings { zone_link: vec![0.0, 0.0, 2000.0], ..settings() };
-    settings.classes[0].never_kept = true;
+    let mut settings = Settings { zone_link_kb_per_s: vec![0.0, 0.0, 2000.0], ..settings() };
+    settings.classes[0].uncacheable = true;
     for note in [Note::FilledFromOrigin, Note::None] {
         let mut s = Stage::new(settings.clone(), &small_fleet());
         for object in 1..10 {
--- a/tests/policy/beliefs.rs
+++ b/tests/policy/beliefs.rs
@@ -51,7 +51,7 @@
     s.now += 20.0;
     // Were it still believed, its own copy would do and a burst would be spread by sibling fills.
     let burst: Vec<Sent> = (0..12).flat_map(|_| sent(&s.ask(3, 50.0).1)).collect();
-    assert!(!burst.is_empty() && burst.iter().all(|b| !b.held_only), "{burst:?}");
+    assert!(!burst.is_empty() && burst.iter().all(|b| !b.only_if_cached), "{burst:?}");
 }
 
 #[test]
@@ -88,7 +88,7 @@
     // belief make it 0.4, twenty more 0.2. It shows in what is booked on the link in, hence in refusals.
     let taken_with = |hits: u64| {
         let mut s = Stage::new(
-            Settings { zone_link: vec![0.0, 0.0, 3000.0], ..settings() },
+            Settings { zone_link_kb_per_s: vec![0.0, 0.0, 3000.0], ..settings() },
             &(10..22).map(edge).chain([parent(30), origin(40)]).collect::<Vec<_>>(),
         );
         for object in 1..=hits {
--- a/tests/policy/health.rs
+++ b/tests/policy/health.rs
@@ -103,7 +103,7 @@
     s.now += 2.0;
     for sent in &out {
         let actions = s.first_attempt_alarm(sent.id);
-        assert!(matches!(actions[..], [Action::Alarm { .. }]), "{actions:?}");
+        assert!(matches!(actions[..], [Action::SetTimer { .. }]), "{actions:?}");
     }
     for sent in out {
         s.end(sent, 0, Outcome::Ok, Note::Hit, 0.0);
@@ -116,7 +116,7 @@
 #[test]
 fn a_parent_that_is_gone_is_not_taken_for_full_caches() {
     // Notes don't tell: refused fills from one parent, through whichever cache.
-    let mut s = Stage::new(Settings { notes: Notes::Hit, ..settings() }, &small_fleet());
+    let mut s = Stage::new(Settings { note_detail: NoteDetail::Hit, ..settings() }, &small_fleet());
     for object in 1..40 {
         let mut x = s.fetch(object, 10.0);
         let mut number = 0;
--- a/tests/policy/membership.rs
+++ b/tests/policy/membership.rs
@@ -34,7 +34,7 @@
     for id in 1000..1500 {
         s.list(ListKind::Delta, &[edge(id)]);
         s.now += 1.0;
-        s.list(ListKind::Delta, &[Node { state: NodeState::Gone, ..edge(id) }]);
+        s.list(ListKind::Delta, &[Node { state: NodeState::Withdrawn, ..edge(id) }]);
     }
-    assert!(s.director.known_nodes() < 100, "{}", s.director.known_nodes());
+    assert!(s.director.node_count() < 100, "{}", s.director.node_count());
 }
--- a/tests/policy/placement.rs
+++ b/tests/policy/placement.rs
@@ -6,7 +6,7 @@
 #[test]
 fn the_same_object_goes_to_the_same_cache_at_all_directors_and_few_move() {
     let mut a = Stage::new(settings(), &small_fleet());
-    let mut b = Stage::new(Settings { me: 1, ..settings() }, &small_fleet());
+    let mut b = Stage::new(Settings { director_number: 1, ..settings() }, &small_fleet());
     let mut less = Stage::new(settings(), &[edge(10), edge(11), parent(20), origin(30)]);
     let mut moved = 0;
     let mut seen = std::collections::BTreeSet::new();
@@ -27,7 +27,7 @@
     let burst: Vec<Sent> = (0..14).map(|_| s.fetch(7, 300.0)).collect();
     let spread: Vec<&Sent> = burst.iter().filter(|b| b.node != first.node).collect();
     assert!(!spread.is_empty(), "one cache must not get everything");
-    assert!(spread.iter().all(|b| b.source == first.node && b.held_only), "{spread:?}");
+    assert!(spread.iter().all(|b| b.source == first.node && b.only_if_cached), "{spread:?}");
 }
 
 #[test]
@@ -35,8 +35,8 @@
     let mut s = Stage::new(settings(), &small_fleet());
     let first = s.hit(7, 300.0);
     let burst: Vec<Sent> = (0..14).map(|_| s.fetch(7, 300.0)).collect();
-    let spread = *burst.iter().find(|b| b.held_only).expect("a sibling fill");
-    let again = s.end(spread, 0, Outcome::Miss, Note::SourceLacks, 0.01);
+    let spread = *burst.iter().find(|b| b.only_if_cached).expect("a sibling fill");
+    let again = s.end(spread, 0, Outcome::Miss, Note::SourceMiss, 0.01);
     let again = sent(&again)[0];
     assert!(again.source != first.node, "the next try is filled from above: {again:?}");
 }
@@ -46,7 +46,7 @@
 fn objects_are_at_home_in_proportion_to_links() {
     let sized = |id, weight| Node { weight, ..edge(id) };
     let nodes = [sized(10, 2.0), sized(11, 6.0), parent(20), origin(30)];
-    let mut s = Stage::new(Settings { weights_told: true, ..settings() }, &nodes);
+    let mut s = Stage::new(Settings { weights_are_link_sizes: true, ..settings() }, &nodes);
     let small = (1..=2_000).filter(|&object| s.hit(object, 10.0).node == 10).count();
     assert!((430..570).contains(&small), "a quarter of 2000: {small}");
 }
@@ -57,7 +57,7 @@
     let nodes: Vec<Node> = (10..30).map(edge).chain([parent(40), origin(50)]).collect();
     let homes = |object: u64| {
         let asked = (0..50).map(|me| {
-            let mut s = Stage::seeded(me, Settings { me: me as u16, ..settings() }, &nodes);
+            let mut s = Stage::seeded(me, Settings { director_number: me as u16, ..settings() }, &nodes);
             for i in 0..30 {
                 s.hit(if i % 3 == 0 { 7 } else { 1_000 + 100 * me + i }, 50.0);
             }
@@ -75,7 +75,7 @@
     let nodes: Vec<Node> = (10..20).map(edge).chain([parent(40), origin(50)]).collect();
     let mut to_new = 0;
     for me in 0..50 {
-        let mut s = Stage::seeded(me, Settings { me: me as u16, ..settings() }, &nodes);
+        let mut s = Stage::seeded(me, Settings { director_number: me as u16, ..settings() }, &nodes);
         for _ in 0..40 {
             s.hit(7, 50.0);
         }
--- a/tests/policy/purges.rs
+++ b/tests/policy/purges.rs
@@ -5,7 +5,7 @@
 
 #[test]
 fn a_purge_voids_beliefs_and_limits_the_age_until_caches_have_settled() {
-    let mut s = Stage::new(Settings { joins: true, ..settings() }, &small_fleet());
+    let mut s = Stage::new(Settings { join_fills: true, ..settings() }, &small_fleet());
     let first = s.fetch(5, 50.0);
     assert_eq!((first.age, first.join), (0.0, true));
     s.end(first, 0, Outcome::Ok, Note::Hit, 0.05);
@@ -28,7 +28,7 @@
 #[test]
 fn a_purge_limit_combines_with_the_fresh_time() {
     let mut base = settings();
-    base.classes[0].fresh = 2.0;
+    base.classes[0].fresh_for = 2.0;
     let mut s = Stage::new(base, &small_fleet());
     s.event(Event::Purged { object: Some(ObjectId(5)), group: GroupId(1), age: 5.0 });
     assert_eq!(s.fetch(5, 50.0).age, 2.0);
--- a/tests/policy/retries.rs
+++ b/tests/policy/retries.rs
@@ -5,7 +5,7 @@
 
 #[test]
 fn without_leave_to_duplicate_the_next_attempt_waits_for_the_cancelled_one() {
-    let mut s = Stage::new(Settings { duplicate: false, ..settings() }, &small_fleet());
+    let mut s = Stage::new(Settings { concurrent_attempts: false, ..settings() }, &small_fleet());
     let stuck = s.fetch(1, 10.0);
     let other = (2..).map(|o| s.fetch(o, 10.0)).find(|x| x.node != stuck.node && x.source != stuck.source);
     s.end(other.expect("some other cache"), 0, Outcome::Ok, Note::Hit, 0.5);
--- a/tests/policy/slow_start.rs
+++ b/tests/policy/slow_start.rs
@@ -37,7 +37,7 @@
         let nodes = [Node { weight: 2.0, ..cold }, edge(11), origin(30)];
         let mut at: Vec<f64> = Vec::new();
         for me in 0..200 {
-            let base = Settings { me, weights_told: true, ..with_peers(200) };
+            let base = Settings { director_number: me, weights_are_link_sizes: true, ..with_peers(200) };
             let mut s = Stage::seeded(u64::from(me), Settings { directors: 200, ..base }, &nodes);
             s.now += f64::from(me) * 0.002;
             for step in 0..20 {
--- a/tests/policy/sources.rs
+++ b/tests/policy/sources.rs
@@ -87,13 +87,13 @@
     for object in 1..200 {
         let mut x = s.fetch(object, 20.0);
         let mut number = 0;
-        while x.held_only {
+        while x.only_if_cached {
             spared[1] += 1;
-            let next = s.end(x, number, Outcome::Miss, Note::SourceLacks, 0.001);
+            let next = s.end(x, number, Outcome::Miss, Note::SourceMiss, 0.001);
             let Some(&next) = sent(&next).first() else { break };
             (x, number) = (next, number + 1);
         }
-        if !x.held_only {
+        if !x.only_if_cached {
             spared[0] += 1;
             s.end(x, number, Outcome::Full, Note::OriginFailed, 0.001);
             s.expire(x.id);
@@ -102,7 +102,7 @@
     assert!(spared[0] < 60 && spared[0] > 3 && spared[1] > 300, "{spared:?}");
     s.now += 60.0;
     let x = s.fetch(1000, 20.0);
-    assert!(!x.held_only, "trusted again after a while");
+    assert!(!x.only_if_cached, "trusted again after a while");
 }
 
 /// Guards the way to the parents: each hub on it costs time and bytes (rough-1 of the site's standard days), so
--- a/tests/policy/stalls.rs
+++ b/tests/policy/stalls.rs
@@ -20,7 +20,7 @@
 
 /// One of the platform's fronts: no second attempt while the first is out, and no parents.
 fn stage(nodes: &[Node]) -> Clocked {
-    let mut stage = Stage::new(Settings { duplicate: false, ..settings() }, nodes);
+    let mut stage = Stage::new(Settings { concurrent_attempts: false, ..settings() }, nodes);
     stage.mixed();
     Clocked { stage, alarms: Vec::new(), actions: Vec::new() }
 }
@@ -39,7 +39,7 @@
     fn take(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Alarm { token, after } => self.alarms.push((self.stage.now + after, token)),
+                Action::SetTimer { token, after } => self.alarms.push((self.stage.now + after, token)),
                 other => self.actions.push(other),
             }
         }
@@ -71,7 +71,7 @@
         let mut due: Vec<(f64, u64)> = self.alarms.extract_if(.., |alarm| alarm.0 <= now).collect();
         due.sort_by(|a, b| a.0.total_cmp(&b.0));
         for (_, token) in due {
-            let actions = self.stage.event(Event::Alarm { token });
+            let actions = self.stage.event(Event::TimerFired { token });
             self.take(actions);
         }
     }
@@ -195,7 +195,7 @@
     s.stands_still(SILENCE);
     s.stands_still(0.0);
     let now = s.stage.now;
-    assert!(!s.stage.director.avoids(now, NodeId(10)), "blamed");
+    assert!(!s.stage.director.is_ejected(now, NodeId(10)), "blamed");
     for sent in out.iter().filter(|sent| sent.id != first.id) {
         s.withdrawn_end(&out);
         s.end(*sent, 0, Outcome::Ok, Note::Hit);
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -39,21 +39,21 @@
     (Outcome::Ok, Note::Filled),
     (Outcome::Ok, Note::FilledFromOrigin),
     (Outcome::Ok, Note::Joined),
-    (Outcome::Ok, Note::Old),
+    (Outcome::Ok, Note::Stale),
     (Outcome::Ok, Note::None),
     (Outcome::Error, Note::SourceFailed),
     (Outcome::Error, Note::OriginFailed),
     (Outcome::Error, Note::None),
     (Outcome::Full, Note::SourceRefused),
-    (Outcome::Full, Note::NoFillPlace),
+    (Outcome::Full, Note::NoFillSlot),
     (Outcome::Full, Note::None),
     (Outcome::TimedOut, Note::None),
     (Outcome::ConnectFailed, Note::None),
     (Outcome::Reset, Note::None),
     (Outcome::Cancelled, Note::None),
-    (Outcome::Moot, Note::None),
+    (Outcome::NotSent, Note::None),
     (Outcome::Miss, Note::None),
-    (Outcome::Miss, Note::SourceLacks),
+    (Outcome::Miss, Note::SourceMiss),
 ];
 
 const LIST_KINDS: [ListKind; 4] = [ListKind::Delta, ListKind::Full, ListKind::Cached, ListKind::Failed];
@@ -107,9 +107,9 @@
             Action::Refuse { request, wait } => self.check_refusal(request, wait),
             Action::Fail { request } => self.check_failure(request),
             Action::Cancel { request, attempt } => self.check_cancel(request, attempt),
-            Action::Alarm { token, after } => self.check_alarm(token, after),
+            Action::SetTimer { token, after } => self.check_alarm(token, after),
             Action::Probe { .. } => assert!(self.settings.probes),
-            Action::Tell { .. } => assert!(self.settings.messages),
+            Action::SendMessage { .. } => assert!(self.settings.messages),
             Action::Watch { .. } | Action::ReadList => {}
         }
     }
@@ -131,13 +131,13 @@
         assert!(!asked.answered, "nothing is sent after the final answer");
         assert!(self.now < asked.request.expires, "nor after the deadline");
         self.check_nodes(order);
-        if !self.settings.duplicate {
+        if !self.settings.concurrent_attempts {
             assert!(asked.attempts.iter().all(|attempt| !attempt.out), "one attempt at a time");
         }
         self.check_effects(asked, order.node);
         self.check_age_limit(asked, order.age);
         assert!(order.age.is_finite() && order.age >= 0.0 && order.within >= 0.0);
-        assert!(asked.attempts.len() < usize::from(self.settings.most_tries));
+        assert!(asked.attempts.len() < usize::from(self.settings.max_attempts));
         let attempt = Attempt { node: order.node.0, sent_at: self.now, may_have_run: true, out: true };
         self.asked_mut(order.request).attempts.push(attempt);
     }
@@ -170,7 +170,7 @@
         let facts = [(true, asked.request.object.0), (false, u64::from(asked.request.group.0))];
         for at in facts.iter().filter_map(|fact| self.purged.get(fact)) {
             let since = self.now - at;
-            let fine = age > 0.0 && age <= since.max(0.001) || since >= self.settings.purge_settles;
+            let fine = age > 0.0 && age <= since.max(0.001) || since >= self.settings.purge_settle_time;
             assert!(fine, "an age limit of {age} {since} s after a purge");
         }
     }
@@ -181,7 +181,7 @@
             let nothing_ran = asked.attempts.iter().all(|attempt| !attempt.may_have_run);
             assert!(nothing_ran, "a refusal promises that nothing ran");
         }
-        assert!(!asked.answered && (0.0..=self.settings.max_wait).contains(&wait));
+        assert!(!asked.answered && (0.0..=self.settings.max_retry_after).contains(&wait));
         self.asked_mut(request).answered = true;
     }
 
@@ -302,7 +302,7 @@
             0 => u64::from(which),
             n => self.alarms.swap_remove(usize::from(which) % n),
         };
-        self.event(Event::Alarm { token });
+        self.event(Event::TimerFired { token });
     }
 
     fn list(&mut self, kind: ListKind, bits: u16) {
@@ -334,7 +334,7 @@
     fn remove_absent(&mut self, listed: &[Node]) {
         let absent = |node: &&mut Node| !listed.iter().any(|other| other.id == node.id);
         for node in self.nodes.values_mut().filter(absent) {
-            node.state = NodeState::Gone;
+            node.state = NodeState::Withdrawn;
         }
     }
 
@@ -353,7 +353,7 @@
     fn message(&mut self, content: &[u8]) {
         self.event(Event::Message { from: PeerId(1), content: content.to_vec() });
         let (node, outcome) = (NodeId(999), Outcome::Reset);
-        self.event(Event::Probed { node, outcome, took: 0.1, load: vec![] });
+        self.event(Event::ProbeEnd { node, outcome, took: 0.1, load: vec![] });
     }
 
     /// What a killed director held is the client's to repeat; its purges of late are told again.
@@ -361,7 +361,7 @@
         self.director = Director::new(seed, self.settings.clone());
         self.asked.clear();
         self.alarms.clear();
-        let listed = self.nodes.values().copied().filter(|node| node.state != NodeState::Gone);
+        let listed = self.nodes.values().copied().filter(|node| node.state != NodeState::Withdrawn);
         let nodes: Vec<Node> = listed.collect();
         self.event(Event::List { kind: ListKind::Cached, nodes: nodes.into() });
         for (fact, at) in self.purged.clone() {
@@ -377,10 +377,10 @@
 
 fn play(duplicate: bool, (here, cold, told): Fleet, steps: &[Step]) -> Vec<Action> {
     let mut settings = settings();
-    settings.duplicate = duplicate;
+    settings.concurrent_attempts = duplicate;
     settings.directors = here.saturating_mul(20);
     settings.directors_by_zone = vec![0, 0, here, here, 1];
-    settings.notes = if told { Notes::All } else { Notes::Hit };
+    settings.note_detail = if told { NoteDetail::All } else { NoteDetail::Hit };
     let cold_parent = |id| Node { ready_at: if cold { 49.0 } else { 0.0 }, ..parent(id) };
     settings.report_fields = vec!["busy".into(), "x1".into()];
     let base = settings.classes[0].clone();
@@ -388,7 +388,7 @@
     settings.classes.push(Class {
         effect: Effect::Keyed(Scope::Cell),
         key_ttl: 1.0,
-        fresh: 2.0,
+        fresh_for: 2.0,
         grace: 2.0,
         ..base
     });
