--- a/crates/lab/src/emulate/world/fronts.rs
+++ b/crates/lab/src/emulate/world/fronts.rs
@@ -112,8 +112,11 @@
         let sent_kb = &mut self.fronts[front].sent_kb;
         let Some(cache) = policy.choose(object, &up, sent_kb, &mut self.random) else { return };
         sent_kb[cache] += request.kb;
-        let order =
-            FetchOrder { node: self.caches[cache].id, source: Upstream::parent_of(object), only_if_cached: false };
+        let order = FetchOrder {
+            node: self.caches[cache].id,
+            source: Upstream::parent_of(object),
+            only_if_cached: false,
+        };
         self.start_attempt(RequestKey { front, id: request.id }, order);
     }
 }
--- a/crates/rollout/src/file.rs
+++ b/crates/rollout/src/file.rs
@@ -3,7 +3,7 @@
 use crate::host::{self, Stamp};
 use anyhow::{Context, Result, bail};
 use onyxyoke::config;
-use onyxyoke::net::admin::build;
+use onyxyoke::net::admin::program_digest;
 use onyxyoke::rollout::{Front, GroupBy, MixingRule, Placement, Plan, Release, mixing, stages};
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -33,7 +33,7 @@
 /// Checks it with the files that it names; `settings` are those of its fronts, in their order.
 pub fn check(plan: Plan, settings: &[Settings]) -> Result<Checked> {
     let digest = |key: &str, path: &Path| {
-        build(path).with_context(|| format!("'{key}.program': '{}'", path.display()))
+        program_digest(path).with_context(|| format!("'{key}.program': '{}'", path.display()))
     };
     let builds = [digest("old", &plan.old.program)?, digest("new", &plan.new.program)?];
     let (mut stamps, mut changed) = (Vec::new(), BTreeMap::new());
@@ -44,7 +44,7 @@
             read.map(|c| c.loaded).map_err(|e| anyhow::anyhow!("'fronts.{i}.{key}': {e}"))
         };
         let (before, after) = (told("settings", old)?, told("new_settings", new)?);
-        for key in before.differs(&after) {
+        for key in before.changed_keys(&after) {
             let how = mixing(&key);
             changed.insert(key, how);
         }
--- a/crates/rollout/tests/command.rs
+++ b/crates/rollout/tests/command.rs
@@ -69,7 +69,7 @@
         std::fs::write(&path, config.to_string()).unwrap();
         let told =
             onyxyoke::config::read(Some(("config", config.to_string().as_bytes())), None).unwrap().loaded;
-        let build = onyxyoke::net::admin::build(program.as_ref()).unwrap();
+        let build = onyxyoke::net::admin::program_digest(program.as_ref()).unwrap();
         let operators = answers(build, told.digest());
         fronts.push(json!({"name": format!("n{i}"), "location": "branch0", "operators": operators,
             "settings": path, "folder": folder}));
--- a/src/broker/admission.rs
+++ b/src/broker/admission.rs
@@ -19,7 +19,7 @@
             ask.deadline = ask.deadline.min(self.closes);
         }
         // Its client left while it lay in the queue: nobody is owed anything.
-        if ask.gone.get() {
+        if ask.cancelled.get() {
             self.counters.aborted += 1;
             return;
         }
@@ -28,10 +28,10 @@
             return self.turn_away(caller, ask.class, Answer::Refused(RETRY_AFTER_CLOSE));
         }
         if ask.deadline <= now {
-            return self.turn_away(caller, ask.class, Answer::Late);
+            return self.turn_away(caller, ask.class, Answer::DeadlineExceeded);
         }
         #[cfg(feature = "planted")]
-        if crate::planted::refuses(ask.class.0) {
+        if crate::planted::should_refuse(ask.class.0) {
             return self.turn_away(caller, ask.class, Answer::Refused(0.1));
         }
         if !self.contracts.covers(&ask) {
@@ -58,8 +58,8 @@
             part: ask.part,
             group: ask.group,
             expires: ask.deadline,
-            kb: ask.kb,
-            repeat: ask.repeat,
+            kb: ask.size_kb,
+            repeat: ask.is_retry,
             write: self
                 .director
                 .settings()
@@ -70,7 +70,7 @@
         self.timers.set(ask.deadline, timers::Timer::Deadline(id));
         self.callers.insert(caller, id);
         let aim = now + self.aim(&ask);
-        self.open.insert(id, Open { caller, ask, aim, attempts: Vec::new(), done: false });
+        self.open.insert(id, Open { caller, request: ask, aim, attempts: Vec::new(), done: false });
         self.feed(now, Event::Request(request));
         self.settle(now);
     }
@@ -105,7 +105,7 @@
 
     /// Answers a request that the director never hears of.
     pub(super) fn turn_away(&mut self, caller: Caller, class: ClassId, answer: Answer) {
-        self.figures.count(class, answer.count());
+        self.metrics.count(class, answer.count());
         self.counters.answered(&answer);
         self.counters.turned_away += 1;
         self.effects.push(Effect::Answer { caller, answer });
@@ -114,7 +114,7 @@
     /// How long its class aims for, by the size where that is told (seconds).
     pub(super) fn aim(&self, ask: &ClientRequest) -> f64 {
         let s = self.director.settings();
-        let sending = s.transfer_time(ask.kb).unwrap_or(0.0);
+        let sending = s.transfer_time(ask.size_kb).unwrap_or(0.0);
         s.classes.get(usize::from(ask.class.0)).map_or(f64::MAX, |c| c.aim + c.aim_stretch * sending)
     }
 
--- a/src/broker/counters.rs
+++ b/src/broker/counters.rs
@@ -89,12 +89,12 @@
         match answer {
             Answer::Served(content) => {
                 self.served += 1;
-                self.current += u64::from(content.current);
+                self.current += u64::from(content.not_modified);
                 self.bytes += content.body.len() as u64;
             }
             Answer::Refused(_) => self.refused += 1,
             Answer::Failed => self.failed += 1,
-            Answer::Late => self.late += 1,
+            Answer::DeadlineExceeded => self.late += 1,
             Answer::OverBudget(_) => self.over_budget += 1,
             Answer::Forbidden => self.forbidden += 1,
         }
--- a/src/broker/messages.rs
+++ b/src/broker/messages.rs
@@ -1,9 +1,9 @@
 //! What the core hears from fronts, cache connections and the list, and what it has them do.
 
-use super::figures::Count;
+use super::metrics::Count;
 use super::tenants::TeamId;
 use crate::interface::*;
-use crate::memory::{AccountOwner, Grant, Ledger, Purpose, Refused};
+use crate::memory::{AccountOwner, Grant, Ledger, MemoryRefusal, Purpose};
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -20,9 +20,9 @@
 
 /// News of the world, in order.
 #[derive(Debug, Clone, PartialEq)]
-pub enum News {
+pub enum DiscoveryUpdate {
     /// The whole list, or what has changed in it.
-    Roster {
+    NodeList {
         /// Who is absent is gone.
         full: bool,
         /// The entries.
@@ -41,7 +41,7 @@
 
 /// What a request takes of the open tables, the queues between tasks and the timers until it is answered, in
 /// whole and rounded up: its entries here and at the director, its attempts, its order and its reports (bytes).
-pub const REQUEST: usize = 2048;
+pub const REQUEST_OVERHEAD_BYTES: usize = 2048;
 
 /// What a front asks, whatever its wire.
 #[derive(Debug, Default, PartialEq)]
@@ -55,11 +55,11 @@
     /// The group of the object.
     pub group: GroupId,
     /// Size in KB, 0 where not told.
-    pub kb: f64,
+    pub size_kb: f64,
     /// When the answer must be out, in Unix seconds.
     pub deadline: f64,
     /// A client's repeat.
-    pub repeat: bool,
+    pub is_retry: bool,
     /// Whose request it is, where teams are configured.
     pub team: Option<TeamId>,
     /// Where the object lies in the teams' name space, on a wire that has paths.
@@ -71,27 +71,34 @@
     /// Idempotency key.
     pub key: Option<Box<str>>,
     /// The bare tag of the client's copy.
-    pub have: Option<Box<str>>,
+    pub client_etag: Option<Box<str>>,
     /// What a write carries.
     pub body: Vec<u8>,
     /// Memory of the request and of its body, until it is over.
     pub held: [Grant; 2],
     /// Bytes that its client has left unread, where it reads more than one answer.
-    pub reader: Option<Rc<Cell<usize>>>,
+    pub unread_bytes: Option<Rc<Cell<usize>>>,
     /// Its client has left, or cancelled it: set by whoever reads that, so that nothing more is sent for it however long
     /// the word of it takes.
-    pub gone: Rc<Cell<bool>>,
+    pub cancelled: Rc<Cell<bool>>,
 }
 
 impl ClientRequest {
-    /// Takes memory for the request and for a body of so many bytes. `precious` ones may have the reserve.
-    pub fn hold(&mut self, memory: &Ledger, precious: bool, body: usize) -> Result<(), Refused> {
-        let holder = |purpose| AccountOwner { purpose, team: self.team, precious };
-        if !memory.admits(REQUEST + body, precious) {
-            return Err(memory.refuse(Purpose::Waiting));
+    /// Takes memory for the request and for a body of so many bytes. `may_use_reserve` ones may have the reserve.
+    pub fn reserve_memory(
+        &mut self,
+        memory: &Ledger,
+        may_use_reserve: bool,
+        body: usize,
+    ) -> Result<(), MemoryRefusal> {
+        let holder = |purpose| AccountOwner { purpose, team: self.team, may_use_reserve };
+        if !memory.admits(REQUEST_OVERHEAD_BYTES + body, may_use_reserve) {
+            return Err(memory.count_refusal(Purpose::Waiting));
         }
-        self.held =
-            [memory.ask(holder(Purpose::Waiting), REQUEST)?, memory.ask(holder(Purpose::Bodies), body)?];
+        self.held = [
+            memory.acquire(holder(Purpose::Waiting), REQUEST_OVERHEAD_BYTES)?,
+            memory.acquire(holder(Purpose::Bodies), body)?,
+        ];
         Ok(())
     }
 }
@@ -106,7 +113,7 @@
     /// Failed; it may have run.
     Failed,
     /// Failed: its time has passed.
-    Late,
+    DeadlineExceeded,
     /// Refused: the team's budget is spent for so many seconds.
     OverBudget(f64),
     /// Refused: no contract covers it.
@@ -119,7 +126,7 @@
         match self {
             Answer::Served(_) => Count::Success,
             Answer::Refused(_) | Answer::OverBudget(_) => Count::Busy,
-            Answer::Failed | Answer::Late | Answer::Forbidden => Count::Failure,
+            Answer::Failed | Answer::DeadlineExceeded | Answer::Forbidden => Count::Failure,
         }
     }
 }
@@ -132,7 +139,7 @@
     /// The tag of the copy.
     pub etag: Box<str>,
     /// The client's copy is the one; there are no bytes.
-    pub current: bool,
+    pub not_modified: bool,
     /// Memory of the bytes, until the client has them.
     pub grant: Grant,
 }
@@ -150,11 +157,11 @@
 #[derive(Debug)]
 pub enum Input {
     /// A request was taken; exactly one answer is owed, unless it is aborted.
-    Ask {
+    Request {
         /// Who asks.
         caller: Caller,
         /// What.
-        ask: Rc<ClientRequest>,
+        request: Rc<ClientRequest>,
         /// Where the answer goes. A connection has few requests open, which bounds its queue.
         reply: UnboundedSender<(u64, Answer)>,
     },
@@ -164,7 +171,7 @@
 
 /// One attempt on its way: the request and the number of the attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct Ticket {
+pub struct AttemptId {
     /// The request.
     pub request: RequestId,
     /// The attempt, from 0.
@@ -175,9 +182,9 @@
 #[derive(Debug, Clone)]
 pub struct Order {
     /// Names it in reports.
-    pub ticket: Ticket,
+    pub attempt_id: AttemptId,
     /// What is asked.
-    pub ask: Rc<ClientRequest>,
+    pub request: Rc<ClientRequest>,
     /// The class as the wire names it.
     pub class: Rc<str>,
     /// Whom to ask.
@@ -193,13 +200,13 @@
     /// It is not waited for longer, in Unix seconds.
     pub due: f64,
     /// A copy made before is too old to be served, in Unix seconds.
-    pub oldest: f64,
+    pub min_created_at: f64,
     /// What it gives is no copy of anything.
     pub uncacheable: bool,
     /// How often it came back from a connection that ended before its write.
-    pub returned: u8,
+    pub requeues: u8,
     /// It is not sent any more: told here as it is decided, whatever queue the order is in.
-    pub called_off: Rc<Cell<bool>>,
+    pub cancelled: Rc<Cell<bool>>,
     /// A further attempt that its class permits only so long after an earlier one begins by then (Unix seconds).
     pub begin_by: f64,
 }
@@ -207,7 +214,7 @@
 impl Order {
     /// May its first byte go out now? Asked last, by whoever writes it.
     pub fn may_be_sent(&self, now: f64) -> bool {
-        now < self.due.min(self.begin_by) && !self.called_off.get() && !self.ask.gone.get()
+        now < self.due.min(self.begin_by) && !self.cancelled.get() && !self.request.cancelled.get()
     }
 }
 
@@ -219,12 +226,12 @@
     /// Take it back: unsent if its write has not begun, else cancelled on the wire. Its end is reported.
     Cancel {
         /// Which.
-        ticket: Ticket,
+        attempt_id: AttemptId,
         /// Its node.
         node: NodeId,
     },
     /// The list has changed.
-    Roster {
+    NodeList {
         /// Who is absent is gone.
         full: bool,
         /// The entries.
@@ -236,11 +243,11 @@
 #[derive(Debug, PartialEq)]
 pub enum Report {
     /// Its write has begun; from here on only proof says that it did not run.
-    Written(Ticket),
+    WriteStarted(AttemptId),
     /// It has ended.
-    Ended {
+    AttemptEnded {
         /// Which.
-        ticket: Ticket,
+        attempt_id: AttemptId,
         /// How; `NotSent` if it was taken back unsent, `Cancelled` if on the wire.
         outcome: Outcome,
         /// Where the content came from, or why not.
@@ -251,13 +258,13 @@
         content: Option<Content>,
     },
     /// Its answer has begun to come, and waits here until there is memory for it: it is not lost.
-    HeldUp(Ticket),
+    AwaitingMemory(AttemptId),
     /// It was answered, and there is no memory for the answer. That says nothing of the node.
-    NoMemory(Ticket),
+    NoMemory(AttemptId),
     /// It was given up on the wire, and its node may not have read that yet: it is out for a little longer.
     Abandoned {
         /// Which.
-        ticket: Ticket,
+        attempt_id: AttemptId,
         /// `Cancelled`, or `Reset` with its connection.
         outcome: Outcome,
         /// Its node has surely read that after so long (seconds).
--- a/src/broker/figures.rs
+++ b/src/broker/metrics.rs
@@ -45,17 +45,17 @@
 
 /// Counts by class and gauges.
 #[derive(Debug)]
-pub struct Figures {
+pub struct Metrics {
     classes: Vec<Rc<str>>,
     counts: Vec<[Cell<u64>; ALL]>,
     gauges: Cell<Gauges>,
 }
 
-impl Figures {
+impl Metrics {
     /// All zero, for classes of these names.
     pub fn new(classes: Vec<Rc<str>>) -> Rc<Self> {
         let counts = classes.iter().map(|_| Default::default()).collect();
-        Rc::new(Figures { classes, counts, gauges: Cell::default() })
+        Rc::new(Metrics { classes, counts, gauges: Cell::default() })
     }
 
     /// Counts one of a class. A class that is not known is not counted: no class can be named for it.
@@ -121,14 +121,14 @@
 
     #[test]
     fn counts_by_class_and_publishes_gauges() {
-        let figures = Figures::new(vec!["media".into(), "pa\"ges".into()]);
-        figures.count(ClassId(0), Count::Success);
-        figures.count(ClassId(0), Count::Success);
-        figures.count(ClassId(1), Count::Busy);
-        figures.count(ClassId(1), Count::BackendCall);
-        figures.count(ClassId(9), Count::Failure);
-        figures.publish(Gauges { inflight: 4, hosts_listed: 12, hosts_down: 1 });
-        let text = figures.render();
+        let metrics = Metrics::new(vec!["media".into(), "pa\"ges".into()]);
+        metrics.count(ClassId(0), Count::Success);
+        metrics.count(ClassId(0), Count::Success);
+        metrics.count(ClassId(1), Count::Busy);
+        metrics.count(ClassId(1), Count::BackendCall);
+        metrics.count(ClassId(9), Count::Failure);
+        metrics.publish(Gauges { inflight: 4, hosts_listed: 12, hosts_down: 1 });
+        let text = metrics.render();
         let lines: Vec<&str> = text.lines().filter(|l| !l.starts_with('#')).collect();
         assert_eq!(
             lines,
@@ -147,9 +147,9 @@
             ]
         );
         assert_eq!(text.matches("# TYPE").count(), 7);
-        figures.count(ClassId(1), Count::Slow);
+        metrics.count(ClassId(1), Count::Slow);
         assert!(
-            figures
+            metrics
                 .render_slow()
                 .contains("front_slow{tier=\"media\"} 0\nfront_slow{tier=\"pa\\\"ges\"} 1\n")
         );
--- a/src/broker/mod.rs
+++ b/src/broker/mod.rs
@@ -4,8 +4,8 @@
 mod admission;
 mod attempts;
 mod counters;
-mod figures;
 mod messages;
+mod metrics;
 #[cfg(test)]
 mod model;
 mod run;
@@ -13,16 +13,16 @@
 mod timers;
 
 pub use counters::Counters;
-pub use figures::{Count, Figures, Gauges};
 pub use messages::{
-    Answer, Caller, ClientRequest, Command, Content, Effect, Input, Member, News, Order, REQUEST, Report,
-    Ticket,
+    Answer, AttemptId, Caller, ClientRequest, Command, Content, DiscoveryUpdate, Effect, Input, Member,
+    Order, REQUEST_OVERHEAD_BYTES, Report,
 };
-pub use run::{Close, Inputs, Operator, run};
+pub use metrics::{Count, Gauges, Metrics};
+pub use run::{Inputs, OperatorRequest, Shutdown, run};
 pub use tenants::{Contracts, Team, TeamId};
 
 use crate::interface::*;
-use crate::membership::{Kept, Membership, OperatorOverride};
+use crate::membership::{Membership, OperatorOverride, SavedOverrides};
 use crate::memory::{AccountOwner, Grant, Ledger, Purpose};
 use crate::{Director, log};
 use attempts::Open;
@@ -61,7 +61,7 @@
     /// What was taken in, sent and answered.
     pub counters: Counters,
     /// What operators read.
-    figures: Rc<Figures>,
+    metrics: Rc<Metrics>,
 }
 
 /// What the core is set up with.
@@ -77,7 +77,7 @@
     /// What holds requests, tables and learned state.
     pub memory: Ledger,
     /// What operators read.
-    pub figures: Rc<Figures>,
+    pub metrics: Rc<Metrics>,
 }
 
 impl Broker {
@@ -95,21 +95,23 @@
             timers: Timers::default(),
             closes: f64::INFINITY,
             next_id: 0,
-            tables: setup.memory.empty(AccountOwner { precious: true, ..AccountOwner::of(Purpose::Waiting) }),
-            learned: setup.memory.empty(AccountOwner::of(Purpose::Learned)),
+            tables: setup
+                .memory
+                .empty_grant(AccountOwner { may_use_reserve: true, ..AccountOwner::of(Purpose::Waiting) }),
+            learned: setup.memory.empty_grant(AccountOwner::of(Purpose::Learned)),
             memory: setup.memory,
             queue: VecDeque::new(),
             actions: Vec::new(),
             effects: Vec::new(),
             counters: Counters::default(),
-            figures: setup.figures,
+            metrics: setup.metrics,
         }
     }
 
     /// Publishes the gauges for operators; `waiting` requests are taken and still queued for the core.
     pub fn publish(&self, now: f64, waiting: usize) {
         let avoided = |n: &Node| n.state != NodeState::Ready || self.director.is_ejected(now, n.id);
-        self.figures.publish(Gauges {
+        self.metrics.publish(Gauges {
             inflight: (self.callers.len() + waiting) as u64,
             hosts_listed: self.members.len() as u64,
             hosts_down: self.members.nodes().filter(avoided).count() as u64,
@@ -119,7 +121,7 @@
     /// The program ends: whatever is open, or still comes, is answered by then, whatever time its client gives.
     pub fn answer_by(&mut self, by: f64) {
         self.closes = by;
-        for (&id, _) in self.open.iter().filter(|(_, o)| !o.done && o.ask.deadline > by) {
+        for (&id, _) in self.open.iter().filter(|(_, o)| !o.done && o.request.deadline > by) {
             self.timers.set(by, timers::Timer::Deadline(id));
         }
     }
@@ -157,9 +159,9 @@
     /// Takes news. Attempts whose write has not begun are taken back if the news bear on them: a request
     /// that waits for a connection must not go to a node that drains, or with an age limit from before a
     /// purge (rules 3 and 5).
-    pub fn news(&mut self, now: f64, news: News, cached: bool) {
+    pub fn apply_update(&mut self, now: f64, news: DiscoveryUpdate, cached: bool) {
         match news {
-            News::Roster { full, members } => {
+            DiscoveryUpdate::NodeList { full, members } => {
                 self.counters.lists += 1;
                 let zones = self.director.settings().hub_of_zone.len();
                 let known = |m: &&Member| {
@@ -177,11 +179,11 @@
                     (false, true) => ListKind::Full,
                     (false, false) => ListKind::Delta,
                 };
-                self.effects.push(Effect::Command(Command::Roster { full, members }));
+                self.effects.push(Effect::Command(Command::NodeList { full, members }));
                 self.feed(now, Event::List { kind, nodes });
                 self.recall_unready();
             }
-            News::Purge { object, group, at } => {
+            DiscoveryUpdate::Purge { object, group, at } => {
                 self.counters.purges += 1;
                 self.feed(now, Event::Purged { object, group, age: (now - at).max(0.0) });
                 self.recall(|_, ask, _| object.map_or(ask.group == group, |o| ask.object == o));
@@ -200,7 +202,7 @@
     }
 
     /// Takes in what another process of this front kept, or its predecessor.
-    pub fn take_kept(&mut self, now: f64, kept: &Kept) {
+    pub fn restore_overrides(&mut self, now: f64, kept: &SavedOverrides) {
         let changed = self.members.take(now, kept);
         if !changed.is_empty() {
             log!("cordons as kept: {} cordoned, {} nodes changed", kept.cordoned.len(), changed.len());
@@ -209,7 +211,7 @@
     }
 
     /// What is kept for a successor: cordons, and nodes put back while they may still be cold.
-    pub fn kept(&self, now: f64) -> Kept {
+    pub fn kept(&self, now: f64) -> SavedOverrides {
         let s = self.director.settings();
         self.members.kept(now, s.warm_up_time.max(s.parent_warm_up_time))
     }
@@ -237,7 +239,7 @@
     /// owed, nothing further is sent, and what is out is cancelled.
     fn leave(&mut self, now: f64, id: RequestId) {
         let Some(open) = self.open.get(&id).filter(|o| !o.done) else { return };
-        let (caller, team) = (open.caller, open.ask.team);
+        let (caller, team) = (open.caller, open.request.team);
         self.callers.remove(&caller);
         self.counters.aborted += 1;
         self.budgets.release(now, team, 0);
@@ -254,17 +256,17 @@
         if self.open.get(&id).is_some_and(|o| o.done && o.attempts.iter().all(|a| !a.out))
             && let Some(open) = self.open.remove(&id)
         {
-            self.calls.remove(&open.ask.call);
+            self.calls.remove(&open.request.call);
         }
     }
 
     /// Gives the final answer.
     fn answer(&mut self, now: f64, id: RequestId, answer: Answer) {
         let Some(open) = self.open.get(&id).filter(|o| !o.done) else { return };
-        let (caller, team) = (open.caller, open.ask.team);
-        self.figures.count(open.ask.class, answer.count());
+        let (caller, team) = (open.caller, open.request.team);
+        self.metrics.count(open.request.class, answer.count());
         if matches!(answer, Answer::Served(_)) && now > open.aim {
-            self.figures.count(open.ask.class, Count::Slow);
+            self.metrics.count(open.request.class, Count::Slow);
         }
         let bytes = if let Answer::Served(content) = &answer { content.body.len() } else { 0 };
         self.budgets.release(now, team, bytes);
@@ -277,24 +279,24 @@
     /// Takes a report of the cache connections.
     pub fn report(&mut self, now: f64, report: Report) {
         match report {
-            Report::Written(ticket) => {
-                if let Some(open) = self.open.get_mut(&ticket.request)
-                    && let Some(a) = open.attempts.get_mut(usize::from(ticket.attempt))
+            Report::WriteStarted(attempt_id) => {
+                if let Some(open) = self.open.get_mut(&attempt_id.request)
+                    && let Some(a) = open.attempts.get_mut(usize::from(attempt_id.attempt))
                 {
                     a.written = true;
                     self.counters.written += 1;
-                    self.figures.count(open.ask.class, Count::BackendCall);
+                    self.metrics.count(open.request.class, Count::BackendCall);
                 }
             }
-            Report::Ended { ticket, outcome, note, source_wait, content } => {
-                self.ended(now, ticket, outcome, note, source_wait, content);
+            Report::AttemptEnded { attempt_id, outcome, note, source_wait, content } => {
+                self.ended(now, attempt_id, outcome, note, source_wait, content);
             }
-            Report::HeldUp(Ticket { request, attempt }) => {
+            Report::AwaitingMemory(AttemptId { request, attempt }) => {
                 self.feed(now, Event::Streaming { request, attempt });
             }
-            Report::NoMemory(ticket) => self.no_memory(now, ticket),
-            Report::Abandoned { ticket, outcome, propagation } => {
-                self.abandoned(now, ticket, outcome, propagation)
+            Report::NoMemory(attempt_id) => self.no_memory(now, attempt_id),
+            Report::Abandoned { attempt_id, outcome, propagation } => {
+                self.abandoned(now, attempt_id, outcome, propagation)
             }
         }
         self.settle(now);
@@ -307,7 +309,7 @@
                 timers::Timer::Alarm(token) => self.feed(now, Event::TimerFired { token }),
                 timers::Timer::Deadline(id) => self.overdue(now, id),
                 timers::Timer::Propagated(request, attempt) => {
-                    self.propagated(now, Ticket { request, attempt })
+                    self.propagated(now, AttemptId { request, attempt })
                 }
             }
         }
@@ -319,25 +321,25 @@
     fn overdue(&mut self, now: f64, id: RequestId) {
         let Some(open) = self.open.get(&id).filter(|o| !o.done) else { return };
         // No further attempt may go: whether the node has heard of the last is nothing to wait for any more.
-        if now >= open.ask.deadline.min(self.closes)
+        if now >= open.request.deadline.min(self.closes)
             && let Some(i) = open.attempts.iter().position(|a| a.abandoned.is_some())
         {
-            self.propagated(now, Ticket { request: id, attempt: i as u16 });
+            self.propagated(now, AttemptId { request: id, attempt: i as u16 });
         }
         let Some(open) = self.open.get_mut(&id).filter(|o| !o.done) else { return };
         let mut asked = false;
         for (i, a) in open.attempts.iter_mut().enumerate().filter(|(_, a)| a.out && a.abandoned.is_none()) {
             asked |= !std::mem::replace(&mut a.timed_out, true);
-            let ticket = Ticket { request: id, attempt: i as u16 };
+            let attempt_id = AttemptId { request: id, attempt: i as u16 };
             if a.call_off() {
-                self.effects.push(Effect::Command(Command::Cancel { ticket, node: a.node }));
+                self.effects.push(Effect::Command(Command::Cancel { attempt_id, node: a.node }));
             }
         }
         if asked {
             self.timers.set(now + CONFIRM, timers::Timer::Deadline(id));
-        } else if now >= open.ask.deadline.min(self.closes) {
+        } else if now >= open.request.deadline.min(self.closes) {
             self.feed(now, Event::Expired { request: id });
-            self.answer(now, id, Answer::Late);
+            self.answer(now, id, Answer::DeadlineExceeded);
         }
     }
 
@@ -373,10 +375,10 @@
             }
             Action::Fail { request } => self.answer(now, request, Answer::Failed),
             Action::Cancel { request, attempt } => {
-                let ticket = Ticket { request, attempt };
-                if let Some(a) = self.attempt(ticket).filter(|a| a.out && a.call_off()) {
+                let attempt_id = AttemptId { request, attempt };
+                if let Some(a) = self.attempt(attempt_id).filter(|a| a.out && a.call_off()) {
                     let node = a.node;
-                    self.effects.push(Effect::Command(Command::Cancel { ticket, node }));
+                    self.effects.push(Effect::Command(Command::Cancel { attempt_id, node }));
                 }
             }
             Action::SetTimer { token, after } => self.timers.set(now + after, timers::Timer::Alarm(token)),
--- a/src/broker/model.rs
+++ b/src/broker/model.rs
@@ -52,13 +52,13 @@
     let mut broker = Broker::new(Setup {
         seed: 7,
         settings,
-        figures: super::Figures::new(class_names.clone()),
+        metrics: super::Metrics::new(class_names.clone()),
         class_names,
         contracts,
         memory: Ledger::unlimited(),
     });
     let members = (0..NODES).map(|id| member(id, NodeState::Ready)).collect();
-    broker.news(1000.0, News::Roster { full: true, members }, true);
+    broker.apply_update(1000.0, DiscoveryUpdate::NodeList { full: true, members }, true);
     broker
 }
 
@@ -144,7 +144,7 @@
             for effect in effects {
                 match effect {
                     Effect::Command(Command::Send(order)) => {
-                        let key = (order.ticket.request.0, order.ticket.attempt);
+                        let key = (order.attempt_id.request.0, order.attempt_id.attempt);
                         prop_assert!(self.out.keys().all(|k| k.0 != key.0), "two attempts out for {:?}", key);
                         let unheard = self.unheard.iter().any(|(k, until)| k.0 == key.0 && *until > self.now);
                         prop_assert!(
@@ -155,14 +155,14 @@
                         let ready = |id: NodeId| self.states[id.0 as usize] == NodeState::Ready;
                         prop_assert!(ready(order.node), "sent to a node that is not ready");
                         prop_assert!(order.source.is_none_or(ready), "filled from a node that is not ready");
-                        let caller: u64 = order.ask.call.parse().unwrap();
+                        let caller: u64 = order.request.call.parse().unwrap();
                         let owed = self.owed.get(&caller);
                         prop_assert!(owed.is_some_and(|o| order.due <= o.0 && order.due > self.now));
                         prop_assert!(!self.ran.contains(&caller), "an unsafe request sent twice");
                         self.out.insert(key, Out { order, written: false, cancelled: false });
                     }
-                    Effect::Command(Command::Cancel { ticket, node }) => {
-                        let key = (ticket.request.0, ticket.attempt);
+                    Effect::Command(Command::Cancel { attempt_id, node }) => {
+                        let key = (attempt_id.request.0, attempt_id.attempt);
                         let Some(out) = self.out.get_mut(&key) else { continue };
                         prop_assert_eq!(out.order.node, node);
                         prop_assert!(!std::mem::replace(&mut out.cancelled, true), "cancelled twice");
@@ -173,7 +173,7 @@
                             false,
                         );
                     }
-                    Effect::Command(Command::Roster { .. }) => {}
+                    Effect::Command(Command::NodeList { .. }) => {}
                     Effect::Answer { caller, answer } => {
                         let owed = self.owed.remove(&caller.tag);
                         prop_assert!(owed.is_some(), "an answer that is not owed: {:?}", answer);
@@ -183,7 +183,7 @@
                                 prop_assert!(wait > 0.0, "a refusal says when to come back");
                                 prop_assert!(!self.ran.contains(&caller.tag), "refused, and may have run");
                             }
-                            Answer::Failed | Answer::Late => {}
+                            Answer::Failed | Answer::DeadlineExceeded => {}
                             other => prop_assert!(false, "{:?} without contracts", other),
                         }
                     }
@@ -196,19 +196,20 @@
     fn end(&mut self, broker: &mut Broker, key: (u32, u16), outcome: Outcome, ours: bool) {
         let Some(out) = self.out.remove(&key) else { return };
         if out.order.class.as_ref() == "unsafe" && !outcome.never_ran() {
-            self.ran.insert(out.order.ask.call.parse().unwrap());
+            self.ran.insert(out.order.request.call.parse().unwrap());
         }
         let body = format!("{key:?}").into_bytes();
         let content = (outcome == Outcome::Ok).then(|| Content { body: body.clone(), ..Content::default() });
         self.given = content.is_some().then_some(body);
         let note = if outcome == Outcome::Ok { Note::Hit } else { Note::None };
-        let ticket = out.order.ticket;
+        let attempt_id = out.order.attempt_id;
         if outcome == Outcome::Cancelled || ours {
             self.unheard.insert(key, self.now + PROPAGATION_SECONDS);
             let propagation = PROPAGATION_SECONDS;
-            return broker.report(self.now, Report::Abandoned { ticket, outcome, propagation });
+            return broker.report(self.now, Report::Abandoned { attempt_id, outcome, propagation });
         }
-        broker.report(self.now, Report::Ended { ticket, outcome, note, source_wait: 0.0, content });
+        broker
+            .report(self.now, Report::AttemptEnded { attempt_id, outcome, note, source_wait: 0.0, content });
     }
 }
 
@@ -252,7 +253,7 @@
                 if let Some(key) = pick(which, waiting) {
                     let out = w.out.get_mut(&key).unwrap();
                     out.written = true;
-                    broker.report(w.now, Report::Written(out.order.ticket));
+                    broker.report(w.now, Report::WriteStarted(out.order.attempt_id));
                 }
             }
             Step::End { which, how } => {
@@ -263,10 +264,15 @@
             }
             Step::Node { id, state } => {
                 let id = u64::from(id) % NODES;
-                let state = [NodeState::Ready, NodeState::Draining, NodeState::Withdrawn][usize::from(state) % 3];
+                let state =
+                    [NodeState::Ready, NodeState::Draining, NodeState::Withdrawn][usize::from(state) % 3];
                 w.states[id as usize] = state;
                 let before: Vec<_> = w.out.iter().filter(|o| !o.1.written).map(|o| *o.0).collect();
-                broker.news(w.now, News::Roster { full: false, members: vec![member(id, state)] }, false);
+                broker.apply_update(
+                    w.now,
+                    DiscoveryUpdate::NodeList { full: false, members: vec![member(id, state)] },
+                    false,
+                );
                 w.watch(&mut broker)?;
                 // What waits for a connection may not leave for a node that drains, nor name it as a source.
                 for out in before.iter().filter_map(|k| w.out.get(k)) {
@@ -277,10 +283,14 @@
             Step::Purge { object, group } => {
                 let object = (!group).then_some(ObjectId(object.into()));
                 let before: Vec<_> = w.out.iter().filter(|o| !o.1.written).map(|o| *o.0).collect();
-                broker.news(w.now, News::Purge { object, group: GroupId(3), at: w.now }, false);
+                broker.apply_update(
+                    w.now,
+                    DiscoveryUpdate::Purge { object, group: GroupId(3), at: w.now },
+                    false,
+                );
                 w.watch(&mut broker)?;
                 for out in before.iter().filter_map(|k| w.out.get(k)) {
-                    let bears = object.is_none_or(|o| o == out.order.ask.object);
+                    let bears = object.is_none_or(|o| o == out.order.request.object);
                     prop_assert!(!bears, "left waiting with an age limit from before a purge");
                 }
             }
@@ -336,7 +346,7 @@
     assert!(b.effects().any(|e| matches!(e, Effect::Command(Command::Cancel { .. }))));
     b.tick(1001.0 + CONFIRM);
     let answers: Vec<Effect> = b.effects().collect();
-    assert!(matches!(answers[..], [Effect::Answer { answer: Answer::Late, .. }]), "{answers:?}");
+    assert!(matches!(answers[..], [Effect::Answer { answer: Answer::DeadlineExceeded, .. }]), "{answers:?}");
 }
 
 /// Guards the last moments before a deadline: what is given up then is followed by nothing that its node could meet, and
@@ -347,12 +357,12 @@
     b.ask(1000.0, Caller { connection: 1, tag: 1 }, ask(1001.0));
     let ordered = |b: &mut Broker| {
         b.effects()
-            .find_map(|e| if let Effect::Command(Command::Send(o)) = e { Some(o.ticket) } else { None })
+            .find_map(|e| if let Effect::Command(Command::Send(o)) = e { Some(o.attempt_id) } else { None })
     };
-    let ticket = ordered(&mut b).unwrap();
-    b.report(1000.1, Report::Written(ticket));
+    let attempt_id = ordered(&mut b).unwrap();
+    b.report(1000.1, Report::WriteStarted(attempt_id));
     let (outcome, propagation) = (Outcome::Reset, PROPAGATION_SECONDS);
-    b.report(1000.995, Report::Abandoned { ticket, outcome, propagation });
+    b.report(1000.995, Report::Abandoned { attempt_id, outcome, propagation });
     assert_eq!(ordered(&mut b), None);
     b.tick(1001.0);
     let effects: Vec<Effect> = b.effects().collect();
@@ -390,29 +400,31 @@
     const BEGAN: f64 = 1010.0;
     let mut broker = broker(Contracts::default());
     let members = [0, NODES - 1].map(|id| member(id, NodeState::Ready)).to_vec();
-    broker.news(BEGAN, News::Roster { full: true, members }, true);
+    broker.apply_update(BEGAN, DiscoveryUpdate::NodeList { full: true, members }, true);
     let ask = |broker: &mut Broker, now: f64, tag: u64| {
         let (object, call) = (ObjectId(tag), tag.to_string().into());
-        let ask = ClientRequest { object, kb: 10.0, deadline: now + 60.0, call, ..ClientRequest::default() };
+        let ask =
+            ClientRequest { object, size_kb: 10.0, deadline: now + 60.0, call, ..ClientRequest::default() };
         broker.ask(now, Caller { connection: 1, tag }, ask);
-        let sent = |e| if let Effect::Command(Command::Send(order)) = e { Some(order.ticket) } else { None };
+        let sent =
+            |e| if let Effect::Command(Command::Send(order)) = e { Some(order.attempt_id) } else { None };
         broker.effects().find_map(sent)
     };
-    let hit = |broker: &mut Broker, now: f64, ticket: Ticket| {
+    let hit = |broker: &mut Broker, now: f64, attempt_id: AttemptId| {
         let (outcome, note, content) = (Outcome::Ok, Note::Hit, Some(Content::default()));
-        broker.report(now, Report::Ended { ticket, outcome, note, source_wait: 0.0, content });
+        broker.report(now, Report::AttemptEnded { attempt_id, outcome, note, source_wait: 0.0, content });
         broker.effects().for_each(drop);
     };
     for n in 0..LEARNED_FROM {
         let now = BEGAN - 1.0 + n as f64 * 0.01;
-        let ticket = ask(&mut broker, now, 1000 + n).unwrap();
-        hit(&mut broker, now + 0.002, ticket);
+        let attempt_id = ask(&mut broker, now, 1000 + n).unwrap();
+        hit(&mut broker, now + 0.002, attempt_id);
     }
     let held = ask(&mut broker, BEGAN, 1).unwrap();
     let other = ask(&mut broker, BEGAN + 0.001, 2).unwrap();
     hit(&mut broker, BEGAN + 0.002, other);
     if told {
-        broker.report(BEGAN + 0.003, Report::HeldUp(held));
+        broker.report(BEGAN + 0.003, Report::AwaitingMemory(held));
     }
     (1..=100).for_each(|step| broker.tick(BEGAN + f64::from(step) * 0.01));
     let meanwhile = broker.effects().collect();
@@ -420,7 +432,7 @@
     broker.effects().for_each(drop);
     let sent = (0..LATER).filter(|n| {
         let now = BEGAN + 1.0 + *n as f64 * 0.001;
-        ask(&mut broker, now, 10 + n).map(|ticket| hit(&mut broker, now, ticket)).is_some()
+        ask(&mut broker, now, 10 + n).map(|attempt_id| hit(&mut broker, now, attempt_id)).is_some()
     });
     (meanwhile, LATER as usize - sent.count())
 }
--- a/src/broker/run.rs
+++ b/src/broker/run.rs
@@ -1,7 +1,7 @@
 //! The one task that owns the core.
 
-use super::{Answer, Broker, Caller, Command, Effect, Input, News, Report};
-use crate::membership::{Kept, OperatorOverride};
+use super::{Answer, Broker, Caller, Command, DiscoveryUpdate, Effect, Input, Report};
+use crate::membership::{OperatorOverride, SavedOverrides};
 use crate::{clock, turns};
 use rustc_hash::FxHashMap;
 use std::cell::Cell;
@@ -21,39 +21,39 @@
 /// The queues that lead to the core, by rank: news first, so that what is decided after them knows of them.
 pub struct Inputs {
     /// From the coordinator, or a discovery document.
-    pub news: UnboundedReceiver<News>,
+    pub updates: UnboundedReceiver<DiscoveryUpdate>,
     /// From the operators' socket, whose callers have one call each at most, which bounds it.
-    pub operators: UnboundedReceiver<Operator>,
+    pub operators: UnboundedReceiver<OperatorRequest>,
     /// From cache connections; each attempt has three reports at most, which bounds it.
     pub reports: UnboundedReceiver<Report>,
     /// From fronts.
-    pub asks: Receiver<Input>,
+    pub requests: Receiver<Input>,
     /// Set once the core has a list of nodes to send to; a front is healthy from then on.
     pub ready: Rc<Cell<bool>>,
     /// Asks for the counters.
     pub print: Rc<Notify>,
     /// Tells of the end.
-    pub close: UnboundedReceiver<Close>,
+    pub close: UnboundedReceiver<Shutdown>,
 }
 
 /// From the operators' socket.
 #[derive(Debug)]
-pub enum Operator {
+pub enum OperatorRequest {
     /// A call. The answer says what was done, with what is now to be kept and the number of the call, so that
     /// of two answers the later is kept; or why it was refused.
-    Call {
+    Override {
         /// What.
-        hand: OperatorOverride,
+        action: OperatorOverride,
         /// Where the answer goes.
-        reply: oneshot::Sender<Result<(String, Kept, u64), String>>,
+        reply: oneshot::Sender<Result<(String, SavedOverrides, u64), String>>,
     },
     /// What another process of this front kept.
-    Kept(Kept),
+    Restore(SavedOverrides),
 }
 
 /// How the program ends.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Close {
+pub enum Shutdown {
     /// Whatever is taken from now on, or was before, is to be answered by then (Unix seconds).
     AnswerBy(f64),
     /// Nothing more is expected: the core ends once every request taken is answered.
@@ -79,7 +79,7 @@
             match effect {
                 Effect::Command(command) => {
                     #[cfg(feature = "planted")]
-                    if let Some(late) = crate::planted::delay() {
+                    if let Some(late) = crate::planted::attempt_delay() {
                         let commands = commands.clone();
                         tokio::task::spawn_local(async move {
                             tokio::time::sleep(late).await;
@@ -109,22 +109,22 @@
         };
         tokio::select! {
             biased;
-            Some(news) = inputs.news.recv() => {
-                broker.news(clock::now(), news, false);
-                while let Ok(news) = inputs.news.try_recv() {
-                    broker.news(clock::now(), news, false);
+            Some(news) = inputs.updates.recv() => {
+                broker.apply_update(clock::now(), news, false);
+                while let Ok(news) = inputs.updates.try_recv() {
+                    broker.apply_update(clock::now(), news, false);
                 }
             }
             Some(call) = inputs.operators.recv() => match call {
-                Operator::Call { hand, reply } => {
+                OperatorRequest::Override { action: hand, reply } => {
                     let now = clock::now();
                     calls += 1;
                     let _ = reply.send(broker.hand(now, hand).map(|said| (said, broker.kept(now), calls)));
                 }
-                Operator::Kept(kept) => broker.take_kept(clock::now(), &kept),
+                OperatorRequest::Restore(kept) => broker.restore_overrides(clock::now(), &kept),
             },
             () = timer => {}
-            _ = publish.tick() => broker.publish(clock::now(), inputs.asks.len()),
+            _ = publish.tick() => broker.publish(clock::now(), inputs.requests.len()),
             Some(report) = inputs.reports.recv() => {
                 broker.report(clock::now(), report);
                 for _ in 1..TURN {
@@ -132,7 +132,7 @@
                     broker.report(clock::now(), report);
                 }
             }
-            Some(input) = inputs.asks.recv() => take(&mut broker, &mut replies, input),
+            Some(input) = inputs.requests.recv() => take(&mut broker, &mut replies, input),
             () = inputs.print.notified() => {
                 // Asked for by the operator, and so not held back by the storm that it is to explain.
                 eprintln!("onyxyoke: {}", broker.counters);
@@ -141,8 +141,8 @@
                 eprintln!("onyxyoke: {}", turns::longest());
             }
             Some(close) = inputs.close.recv() => match close {
-                Close::AnswerBy(by) => broker.answer_by(by),
-                Close::WhenAnswered => closing = true,
+                Shutdown::AnswerBy(by) => broker.answer_by(by),
+                Shutdown::WhenAnswered => closing = true,
             },
         }
         // Whatever came, timers that are due fire now: a busy queue does not hold them up.
@@ -156,7 +156,7 @@
 
 fn take(broker: &mut Broker, replies: &mut FxHashMap<Caller, UnboundedSender<(u64, Answer)>>, input: Input) {
     match input {
-        Input::Ask { caller, ask, reply } => {
+        Input::Request { caller, request: ask, reply } => {
             replies.insert(caller, reply);
             broker.ask(clock::now(), caller, ask);
         }
--- a/src/broker/tenants.rs
+++ b/src/broker/tenants.rs
@@ -37,7 +37,7 @@
     }
 
     /// The team of a name.
-    pub fn named(&self, name: &[u8]) -> Option<TeamId> {
+    pub fn find(&self, name: &[u8]) -> Option<TeamId> {
         self.0.iter().position(|t| t.name.as_bytes() == name).map(|i| i as TeamId)
     }
 
--- a/src/config/loaded.rs
+++ b/src/config/loaded.rs
@@ -10,7 +10,7 @@
     /// Keys in which a later reading differs and that cannot change while the program runs. What was on at
     /// the start stays on: where the coordinator or the discovery server is reached may change, and what memory is
     /// held to.
-    pub fn fixed(&self, later: &LoadedSettings) -> Vec<String> {
+    pub fn restart_required(&self, later: &LoadedSettings) -> Vec<String> {
         let mut keys = Vec::new();
         differing("", &self.0, &later.0, &mut keys);
         let xds = |loaded: &LoadedSettings| loaded.0.get("xds").is_some();
@@ -25,7 +25,7 @@
     }
 
     /// All keys in which a later reading differs.
-    pub fn differs(&self, later: &LoadedSettings) -> Vec<String> {
+    pub fn changed_keys(&self, later: &LoadedSettings) -> Vec<String> {
         let mut keys = Vec::new();
         differing("", &self.0, &later.0, &mut keys);
         keys
--- a/src/config/members.rs
+++ b/src/config/members.rs
@@ -1,14 +1,18 @@
 //! The coordinator's events of the start: the list of nodes, and purges.
 
 use super::key_path::KeyPath;
-use crate::broker::{Member, News};
+use crate::broker::{DiscoveryUpdate, Member};
 use crate::interface::*;
 
-pub(super) fn known(at: &KeyPath, zones: &[String], kinds: &[String]) -> Result<(u64, Vec<News>), String> {
+pub(super) fn known(
+    at: &KeyPath,
+    zones: &[String],
+    kinds: &[String],
+) -> Result<(u64, Vec<DiscoveryUpdate>), String> {
     let news = at.get("updates")?.list(|update| {
         if let Some(list) = update.opt("endpoints") {
             let full = list.get("complete")?.flag()?;
-            return Ok(Some(News::Roster {
+            return Ok(Some(DiscoveryUpdate::NodeList {
                 full,
                 members: list.get("members")?.list(|m| member(m, zones, kinds))?,
             }));
@@ -25,7 +29,7 @@
             Some(_) => GroupId(0),
             None => GroupId(purge.get("shard")?.count()?.into()),
         };
-        Ok(Some(News::Purge { object, group, at: purge.get("unix_ms")?.number()? / 1000.0 }))
+        Ok(Some(DiscoveryUpdate::Purge { object, group, at: purge.get("unix_ms")?.number()? / 1000.0 }))
     })?;
     Ok((at.get("index")?.whole()?, news.into_iter().flatten().collect()))
 }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -10,7 +10,7 @@
 mod settings;
 mod strict;
 
-use crate::broker::{Contracts, News};
+use crate::broker::{Contracts, DiscoveryUpdate};
 use crate::interface::*;
 use crate::memory::Plan;
 use crate::xds::Names;
@@ -39,23 +39,23 @@
     /// What memory is held to, in all and by purpose.
     pub memory: Plan,
     /// Most descriptors.
-    pub sockets: usize,
+    pub max_descriptors: usize,
     /// Where the coordinator listens, if there is one.
     pub coordinator: Option<SocketAddr>,
     /// The coordinator's events so far, and the number of the last.
-    pub known: (u64, Vec<News>),
+    pub initial_updates: (u64, Vec<DiscoveryUpdate>),
     /// What the director is set up with.
     pub settings: Settings,
     /// The classes by name.
     pub classes: Classes,
     /// A connection to a cache node that is not made by then has failed (seconds).
-    pub connect_within: f64,
+    pub connect_timeout: f64,
     /// Cache nodes close idle connections after this (seconds).
-    pub keepalive: f64,
+    pub node_idle_timeout: f64,
     /// Most requests on one connection to a cache node.
-    pub streams: usize,
+    pub max_requests_per_connection: usize,
     /// What a new connection to a cache node costs (points for each of a first try's); 0: nothing is charged.
-    pub handshake: f64,
+    pub handshake_cost: f64,
     /// The second front, if it is on.
     pub signed: Option<Signed>,
     /// Discovery in xDS form, if it is used.
@@ -82,9 +82,9 @@
     /// The file of the signers' keys.
     pub keys: PathBuf,
     /// It is reread this often (seconds).
-    pub reread: f64,
+    pub keys_refresh: f64,
     /// A replaced key verifies for so long (seconds).
-    pub overlap: f64,
+    pub key_overlap: f64,
 }
 
 /// Discovery in xDS form.
@@ -98,7 +98,7 @@
 
 /// The operators' address that `NODE_ADMIN_ADDR` gives, where it is set: it counts over the file's, since a process
 /// that replaces another is told its own there.
-pub fn admin(variable: Option<&str>, config: &mut Config) -> Result<(), String> {
+pub fn override_admin_address(variable: Option<&str>, config: &mut Config) -> Result<(), String> {
     if let Some(text) = variable {
         let wrong = |_| format!("NODE_ADMIN_ADDR: '{text}' is not an address and a port");
         config.admin = Some(text.trim().parse().map_err(wrong)?);
@@ -194,15 +194,15 @@
         admin: top.opt("admin_addr").map(|v| v.address()).transpose()?,
         seed,
         memory: memory(&top, (limits.get("memory_mb")?.above_zero()? * 1e6) as usize, contracts.0.len())?,
-        sockets: limits.get("sockets")?.above_zero()? as usize,
+        max_descriptors: limits.get("sockets")?.above_zero()? as usize,
         coordinator: needed("coordinator", !feed)?.filter(|_| feed).map(|v| v.address()).transpose()?,
-        known,
+        initial_updates: known,
         settings,
         classes,
-        connect_within: or(&caps, "connect-timeout", 0.4)?,
-        keepalive: or(&caps, "keepalive", 15.0)?,
-        streams: or(&caps, "max-streams", 100.0)? as usize,
-        handshake: match inner.opt("prices").and_then(|prices| prices.opt("handshake")) {
+        connect_timeout: or(&caps, "connect-timeout", 0.4)?,
+        node_idle_timeout: or(&caps, "keepalive", 15.0)?,
+        max_requests_per_connection: or(&caps, "max-streams", 100.0)? as usize,
+        handshake_cost: match inner.opt("prices").and_then(|prices| prices.opt("handshake")) {
             Some(price) => price.amount()?,
             None => 0.0,
         },
--- a/src/config/sections.rs
+++ b/src/config/sections.rs
@@ -4,14 +4,14 @@
 use super::key_path::KeyPath;
 use super::{Signed, Xds};
 use crate::broker::Team;
-use crate::memory::{AccountLimits, PURPOSES, Plan, Purpose};
+use crate::memory::{LimitOverrides, PURPOSES, Plan, Purpose};
 
 /// Share of each account that one of several teams may hold.
 const TEAM_SHARE: f64 = 0.5;
 
 /// Reads the table of memory by purpose: sizes in megabytes (`cap_mb`) or shares of the total (`cap`).
 pub(super) fn memory(top: &KeyPath, total: usize, teams: usize) -> Result<Plan, String> {
-    let mut wishes = [AccountLimits::default(); PURPOSES];
+    let mut wishes = [LimitOverrides::default(); PURPOSES];
     let mut share = if teams > 1 { TEAM_SHARE } else { 1.0 };
     let Some(table) = top.opt("memory") else {
         return Plan::new(total, &wishes, share).map_err(|e| format!("{}: {e}", top.what));
@@ -63,8 +63,8 @@
         return Err(base.wrong("a scheme and an authority without a path"));
     }
     let leeway = or("leeway_s", 0.0)?;
-    let overlap = or("overlap_s", 300.0)?;
-    if leeway < 0.0 || overlap < 0.0 {
+    let key_overlap = or("overlap_s", 300.0)?;
+    if leeway < 0.0 || key_overlap < 0.0 {
         return Err(at.wrong("a table whose times are 0 or more"));
     }
     Ok(Signed {
@@ -73,8 +73,8 @@
         audience: at.opt("audience").map(|v| v.text().map(str::to_owned)).transpose()?,
         leeway,
         keys: at.get("keys")?.text()?.into(),
-        reread: at.opt("reread_s").map_or(Ok(5.0), |v| v.above_zero())?,
-        overlap,
+        keys_refresh: at.opt("reread_s").map_or(Ok(5.0), |v| v.above_zero())?,
+        key_overlap,
     })
 }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -25,10 +25,10 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod brain;
 pub mod broker;
 pub mod clock;
 pub mod config;
+mod director;
 pub mod interface;
 pub mod log;
 pub mod membership;
@@ -45,7 +45,7 @@
 pub mod watch;
 pub mod xds;
 
-pub use brain::Director;
+pub use director::Director;
 
 /// The README's example, compiled with the tests.
 #[cfg(doctest)]
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,14 +1,14 @@
 //! One real front: reads its configuration, listens, wires the tasks together, and ends when it is told to.
 #![forbid(unsafe_code)]
 
-use onyxyoke::broker::{self, Broker, Close, Contracts, Figures, Input, Inputs, News, Setup};
+use onyxyoke::broker::{self, Broker, Contracts, DiscoveryUpdate, Input, Inputs, Metrics, Setup, Shutdown};
 use onyxyoke::config::{self, Classes, Config, LoadedSettings};
 use onyxyoke::interface::Class;
 use onyxyoke::memory::{AccountOwner, Ledger, Purpose};
-use onyxyoke::net::{ListenerState, Live, admin, clients, coordinator, pool};
+use onyxyoke::net::{ListenerState, Reloadable, admin, clients, coordinator, pool};
 use onyxyoke::signed::keys::{KeyFile, Keys};
 use onyxyoke::state::{StateStore, StateWorker, Succession};
-use onyxyoke::turns::{self, TaskKind, measured};
+use onyxyoke::turns::{self, TaskKind, track_polls};
 use onyxyoke::{clock, log, signed, watch, xds};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -98,14 +98,14 @@
     let platform = platform.as_ref().map(|(path, bytes)| (path.as_str(), bytes.as_slice()));
     let operator = operator.as_ref().map(|(path, text)| (path.as_str(), text.as_str()));
     let mut config = config::read(platform, operator)?;
-    config::admin(std::env::var("NODE_ADMIN_ADDR").ok().as_deref(), &mut config)?;
+    config::override_admin_address(std::env::var("NODE_ADMIN_ADDR").ok().as_deref(), &mut config)?;
     Ok(config)
 }
 
 /// Where news comes from: what a reload may change.
 struct Feed {
-    discovery: Option<Rc<Live<(SocketAddr, f64)>>>,
-    coordinator: Option<Rc<Live<SocketAddr>>>,
+    discovery: Option<Rc<Reloadable<(SocketAddr, f64)>>>,
+    coordinator: Option<Rc<Reloadable<SocketAddr>>>,
     memory: Ledger,
     /// The digest of the settings in force.
     settings: Rc<Cell<u64>>,
@@ -128,7 +128,7 @@
         if *self.memory.accounts().plan() != later.memory {
             self.memory.replan(later.memory);
         }
-        let fixed = loaded.fixed(&later.loaded);
+        let fixed = loaded.restart_required(&later.loaded);
         match fixed.is_empty() {
             true => {
                 self.settings.set(later.loaded.digest());
@@ -145,7 +145,7 @@
     classes: Rc<Classes>,
     contracts: Rc<Contracts>,
     ready: Rc<Cell<bool>>,
-    figures: Rc<Figures>,
+    metrics: Rc<Metrics>,
     memory: Ledger,
     numbers: Rc<Cell<u64>>,
     /// Most connections of one front.
@@ -159,20 +159,20 @@
 impl Fronts {
     /// Serves RESP clients.
     fn serve_clients(&mut self, name: &str, listener: TcpListener) -> std::io::Result<()> {
-        let front = clients::Front {
-            asks: self.asks.clone(),
+        let front = clients::ClientContext {
+            broker_inputs: self.asks.clone(),
             classes: self.classes.clone(),
             contracts: self.contracts.clone(),
             ready: self.ready.clone(),
-            connections: self.connections,
+            max_connections: self.connections,
             numbers: self.numbers.clone(),
             memory: self.memory.clone(),
-            wait: self.wait,
-            figures: self.figures.clone(),
+            pushback: self.wait,
+            metrics: self.metrics.clone(),
         };
         log!("{name} serves on {}", listener.local_addr()?);
         let accepting = clients::accept(listener, Rc::new(front), self.listening.clone());
-        self.served.spawn_local(measured(TaskKind::Listener, accepting));
+        self.served.spawn_local(track_polls(TaskKind::Listener, accepting));
         Ok(())
     }
 
@@ -188,12 +188,12 @@
         let text = std::fs::read_to_string(&signed.keys).map_err(|e| wrong(e.to_string()))?;
         let mut keys = Keys::default();
         keys.replace(clock::now(), 0.0, KeyFile::parse(&text).map_err(wrong)?);
-        let held = self.memory.ask(AccountOwner::of(Purpose::Signed), keys.footprint());
+        let held = self.memory.acquire(AccountOwner::of(Purpose::Signed), keys.footprint());
         let held = held.map_err(|_| wrong("they are larger than 'memory.signed' allows".into()))?;
         let keys = Rc::new(RefCell::new(keys));
-        let times = (signed.reread, signed.overlap);
+        let times = (signed.keys_refresh, signed.key_overlap);
         let watching = signed::watch_keys(signed.keys, text, keys.clone(), times, held);
-        spawn_local(measured(TaskKind::Keys, watching));
+        spawn_local(track_polls(TaskKind::Keys, watching));
         let front = signed::Front {
             asks: self.asks.clone(),
             contracts: self.contracts.clone(),
@@ -209,7 +209,7 @@
         };
         log!("{name} serves signed links on {}", listener.local_addr()?);
         let accepting = signed::accept(listener, Rc::new(front), self.listening.clone());
-        self.served.spawn_local(measured(TaskKind::Listener, accepting));
+        self.served.spawn_local(track_polls(TaskKind::Listener, accepting));
         Ok(())
     }
 }
@@ -240,7 +240,7 @@
 struct Kept {
     store: StateStore,
     /// Cordons that were there at the start.
-    cordons: Option<onyxyoke::membership::Kept>,
+    cordons: Option<onyxyoke::membership::SavedOverrides>,
     succession: Succession,
 }
 
@@ -250,7 +250,7 @@
     fn open(name: &str, listeners: &Listeners) -> std::io::Result<Self> {
         let (store, cordons) = StateStore::open(std::env::temp_dir(), name, &listeners.addresses()?);
         let succession = store.succession();
-        if !succession.another_serves() {
+        if !succession.has_successor() {
             listeners.all().for_each(onyxyoke::net::prefer_youngest);
         }
         Ok(Kept { store, cordons, succession })
@@ -264,7 +264,7 @@
     let (reports_in, reports) = unbounded_channel();
     let (commands_in, commands) = unbounded_channel();
     let waiting = config.memory.limits[Purpose::Waiting as usize].cap;
-    let (asks_in, asks) = channel((waiting / broker::REQUEST).clamp(1, ASKS));
+    let (asks_in, asks) = channel((waiting / broker::REQUEST_OVERHEAD_BYTES).clamp(1, ASKS));
     let (close, closes) = unbounded_channel();
     let print = Rc::new(Notify::new());
     let ready = Rc::new(Cell::new(false));
@@ -280,14 +280,14 @@
     let classes = Rc::new(config.classes);
     let mut fronts = Fronts {
         asks: asks_in,
-        figures: Figures::new(classes.names.clone()),
+        metrics: Metrics::new(classes.names.clone()),
         classes,
         contracts: Rc::new(config.contracts),
         ready: ready.clone(),
         memory: memory.clone(),
         numbers: Rc::default(),
         // Clients hold a third at most; what they have just closed may not be gone here yet.
-        connections: config.sockets * 2 / 5 / listeners.all().count().max(1),
+        connections: config.max_descriptors * 2 / 5 / listeners.all().count().max(1),
         wait: config.settings.max_retry_after,
         listening: ListenerState::new(),
         served: JoinSet::new(),
@@ -302,28 +302,28 @@
     if let (Some(address), Some(mut kept)) = (config.admin, kept) {
         let listener = TcpListener::bind(address).await?;
         log!("{} answers operators on {}", config.name, listener.local_addr()?);
-        kept.succession.note();
+        kept.succession.register();
         let context = admin::AdminContext {
             ready: ready.clone(),
-            figures: fronts.figures.clone(),
+            metrics: fronts.metrics.clone(),
             operators: operators_in.clone(),
             store: StateWorker::start(kept.store),
             settings: settings.clone(),
             build: Cell::new(None),
         };
-        spawn_local(measured(TaskKind::Operators, admin::serve(listener, Rc::new(context))));
+        spawn_local(track_polls(TaskKind::Operators, admin::serve(listener, Rc::new(context))));
         (cordons, succession) = (kept.cordons, Some(kept.succession));
     }
     drop(operators_in);
-    let limits = pool::Limits {
-        connect_within: config.connect_within,
-        idle: config.keepalive / 2.0,
-        streams: config.streams,
-        connections: (config.sockets / SHARE).max(1),
-        handshake: config.handshake,
+    let limits = pool::PoolLimits {
+        connect_timeout: config.connect_timeout,
+        idle_timeout: config.node_idle_timeout / 2.0,
+        max_requests_per_connection: config.max_requests_per_connection,
+        max_connections: (config.max_descriptors / SHARE).max(1),
+        handshake_cost: config.handshake_cost,
     };
-    spawn_local(measured(TaskKind::Pool, pool::run(commands, reports_in, limits, memory.clone())));
-    spawn_local(measured(TaskKind::Memory, watch::memory(memory.clone())));
+    spawn_local(track_polls(TaskKind::Pool, pool::run(commands, reports_in, limits, memory.clone())));
+    spawn_local(track_polls(TaskKind::Memory, watch::memory(memory.clone())));
 
     let seed = config.seed;
     let mut broker = Broker::new(Setup {
@@ -332,30 +332,37 @@
         class_names: fronts.classes.names.clone(),
         contracts: fronts.contracts.clone(),
         memory: memory.clone(),
-        figures: fronts.figures.clone(),
+        metrics: fronts.metrics.clone(),
     });
     // Before the first list: a node that was cordoned is never seen ready.
     if let Some(cordons) = cordons {
-        broker.take_kept(clock::now(), &cordons);
+        broker.restore_overrides(clock::now(), &cordons);
     }
-    let (last, events) = config.known;
+    let (last, events) = config.initial_updates;
     take_known(&mut broker, events);
     let feed = Feed {
-        discovery: config.xds.map(|xds| Live::new((xds.server, xds.refresh))),
-        coordinator: config.coordinator.map(Live::new),
+        discovery: config.xds.map(|xds| Reloadable::new((xds.server, xds.refresh))),
+        coordinator: config.coordinator.map(Reloadable::new),
         memory: memory.clone(),
         settings,
     };
     if let Some(server) = &feed.discovery {
         let following = xds::follow(server.clone(), config.name, config.names, news_in, memory.clone());
-        spawn_local(measured(TaskKind::Discovery, following));
+        spawn_local(track_polls(TaskKind::Discovery, following));
     } else if let Some(address) = &feed.coordinator {
         let following = coordinator::follow(address.clone(), last, seed, news_in, memory.clone());
-        spawn_local(measured(TaskKind::Discovery, following));
+        spawn_local(track_polls(TaskKind::Discovery, following));
     }
-    let inputs =
-        Inputs { news, operators, reports, asks, ready: ready.clone(), print: print.clone(), close: closes };
-    let mut core = spawn_local(measured(TaskKind::Broker, broker::run(broker, inputs, commands_in)));
+    let inputs = Inputs {
+        updates: news,
+        operators,
+        reports,
+        requests: asks,
+        ready: ready.clone(),
+        print: print.clone(),
+        close: closes,
+    };
+    let mut core = spawn_local(track_polls(TaskKind::Broker, broker::run(broker, inputs, commands_in)));
     // The core ends with the last connection that may ask.
     let Fronts { listening, mut served, asks, .. } = fronts;
     drop(asks);
@@ -369,7 +376,7 @@
     ready.set(false);
     let told = clock::now();
     let killed = told + longest.min(KILL.0) + KILL.1;
-    let _ = close.send(Close::AnswerBy(killed - BEFORE.0));
+    let _ = close.send(Shutdown::AnswerBy(killed - BEFORE.0));
     match succession {
         Some(succession) => serve_or_hand_over(succession, &listening, told + CLOSING).await,
         None => {
@@ -379,19 +386,19 @@
         }
     }
     close_connections(&mut served, &listening, killed).await;
-    let _ = close.send(Close::WhenAnswered);
+    let _ = close.send(Shutdown::WhenAnswered);
     core.await.map_err(std::io::Error::other)?;
     write_last_answers(&memory, killed).await;
     Ok(())
 }
 
 /// Takes in what was known at the start; the first whole list is an earlier one.
-fn take_known(broker: &mut Broker, events: Vec<News>) {
+fn take_known(broker: &mut Broker, events: Vec<DiscoveryUpdate>) {
     let mut first = true;
     for event in events {
-        let cached = first && matches!(event, News::Roster { .. });
+        let cached = first && matches!(event, DiscoveryUpdate::NodeList { .. });
         first &= !cached;
-        broker.news(clock::now(), event, cached);
+        broker.apply_update(clock::now(), event, cached);
     }
 }
 
@@ -445,12 +452,12 @@
 async fn serve_or_hand_over(mut succession: Succession, listening: &ListenerState, until: f64) {
     let mut handed_over = false;
     loop {
-        if !handed_over && succession.another_serves() {
+        if !handed_over && succession.has_successor() {
             log!("a newer process serves beside this one: listener closing");
             listening.hand_over();
             handed_over = true;
         }
-        succession.withdraw();
+        succession.unregister();
         let now = clock::now();
         if now >= until {
             return;
--- a/src/membership/mod.rs
+++ b/src/membership/mod.rs
@@ -29,7 +29,7 @@
 
 /// What survives the process: the cordons, and when nodes were put back, as far as that still tells a start.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Kept {
+pub struct SavedOverrides {
     /// The cordoned nodes, in order.
     pub cordoned: Vec<NodeId>,
     /// Nodes put back, with when (Unix seconds).
@@ -153,16 +153,16 @@
     }
 
     /// What is kept for a successor: the cordons, and the nodes put back within `cold` seconds.
-    pub fn kept(&self, now: f64, cold: f64) -> Kept {
+    pub fn kept(&self, now: f64, cold: f64) -> SavedOverrides {
         let mut woke: Vec<_> =
             self.woke.iter().filter(|(_, at)| now - **at < cold).map(|(&i, &a)| (i, a)).collect();
         woke.sort_by_key(|w| w.0);
-        Kept { cordoned: self.cordoned.iter().copied().collect(), woke }
+        SavedOverrides { cordoned: self.cordoned.iter().copied().collect(), woke }
     }
 
     /// Takes in what another process of this front kept, or this one's predecessor: that set of cordons from now on,
     /// and the later of two times at which a node was put back. Gives the nodes whose view changed.
-    pub fn take(&mut self, now: f64, kept: &Kept) -> Vec<Node> {
+    pub fn take(&mut self, now: f64, kept: &SavedOverrides) -> Vec<Node> {
         let wanted: BTreeSet<NodeId> = kept.cordoned.iter().copied().take(CORDONS).collect();
         let mut changed: Vec<NodeId> = wanted.symmetric_difference(&self.cordoned).copied().collect();
         let put_back: Vec<NodeId> = self.cordoned.difference(&wanted).copied().collect();
@@ -180,7 +180,7 @@
     }
 }
 
-impl Kept {
+impl SavedOverrides {
     /// Carries out a call on the set alone, as [`Membership::hand`] does on the view: a cordon is added once, and a
     /// call back takes it away and notes when.
     pub fn apply(&mut self, hand: OperatorOverride, now: f64) {
@@ -203,8 +203,8 @@
     }
 
     /// Reads the file's text; a line that cannot be read is named, and the rest is taken.
-    pub fn read(text: &str) -> (Kept, Vec<String>) {
-        let (mut kept, mut wrong) = (Kept::default(), Vec::new());
+    pub fn read(text: &str) -> (SavedOverrides, Vec<String>) {
+        let (mut kept, mut wrong) = (SavedOverrides::default(), Vec::new());
         for (i, line) in text.lines().enumerate().filter(|(_, l)| !l.trim().is_empty()) {
             let words: Vec<&str> = line.split_ascii_whitespace().collect();
             let read = match words[..] {
--- a/src/membership/model.rs
+++ b/src/membership/model.rs
@@ -86,7 +86,7 @@
                     }
                     Step::Replace => {
                         let kept = view.kept(now, 3600.0);
-                        let (read, wrong) = Kept::read(&kept.text());
+                        let (read, wrong) = SavedOverrides::read(&kept.text());
                         prop_assert!(wrong.is_empty());
                         prop_assert_eq!(&read.cordoned, &kept.cordoned);
                         view = Membership::default();
@@ -116,7 +116,8 @@
 
 #[test]
 fn unreadable_lines_of_the_file_are_named_and_the_rest_is_taken() {
-    let (kept, wrong) = Kept::read("cordon s-0000000a\n\nwoke s-0000000b 1764576000.5\ndrain s-0000000c\n");
+    let (kept, wrong) =
+        SavedOverrides::read("cordon s-0000000a\n\nwoke s-0000000b 1764576000.5\ndrain s-0000000c\n");
     assert_eq!(kept.cordoned, [NodeId(10)]);
     assert_eq!(kept.woke, [(NodeId(11), 1_764_576_000.5)]);
     assert_eq!(wrong, ["line 4: 'drain s-0000000c' is neither 'cordon ID' nor 'woke ID UNIX'"]);
--- a/src/memory/accounts.rs
+++ b/src/memory/accounts.rs
@@ -1,7 +1,7 @@
 //! The sums: what each account holds, what it may, and whether a further ask fits.
 //!
 //! The rule. An account's *commitment* is the larger of its guarantee and of what it holds, where precious bytes
-//! count as its reserve at least: `max(guarantee, ordinary + max(precious, reserve))`. An ask is granted while
+//! count as its reserve at least: `max(guarantee, ordinary + max(may_use_reserve, reserve))`. An ask is granted while
 //! the account stays within its cap in the same sense and the commitments of all together within the front's
 //! total. From this follows, whatever the others do: an account may always have its guarantee, precious bytes
 //! may always have their reserve, and the sum of all never exceeds the total.
@@ -10,7 +10,7 @@
 
 /// An ask that was not granted. Nothing has changed but the account's count of refusals.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Refused {
+pub struct MemoryRefusal {
     /// Whose account had no room.
     pub purpose: Purpose,
 }
@@ -19,7 +19,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 struct Account {
     ordinary: usize,
-    precious: usize,
+    may_use_reserve: usize,
     peak: usize,
     /// Asks that were refused since the start, and at the last turn.
     refused: u64,
@@ -31,7 +31,7 @@
 
 impl Account {
     fn used(&self) -> usize {
-        self.ordinary + self.precious
+        self.ordinary + self.may_use_reserve
     }
 }
 
@@ -108,7 +108,7 @@
 
     fn commitment(&self, purpose: Purpose) -> usize {
         let (account, limit) = (&self.accounts[purpose as usize], &self.plan.limits[purpose as usize]);
-        limit.guarantee.max(account.ordinary + account.precious.max(limit.reserve))
+        limit.guarantee.max(account.ordinary + account.may_use_reserve.max(limit.reserve))
     }
 
     /// Books further bytes, or refuses and books nothing.
@@ -116,25 +116,26 @@
         &mut self,
         purpose: Purpose,
         team: u16,
-        precious: bool,
+        may_use_reserve: bool,
         bytes: usize,
-    ) -> Result<(), Refused> {
+    ) -> Result<(), MemoryRefusal> {
         let at = purpose as usize;
         let (before, account, limit) = (self.commitment(purpose), self.accounts[at], self.plan.limits[at]);
         let add = |part: usize, mine: bool| if mine { part.saturating_add(bytes) } else { part };
-        let (ordinary, held) = (add(account.ordinary, !precious), add(account.precious, precious));
+        let (ordinary, held) =
+            (add(account.ordinary, !may_use_reserve), add(account.may_use_reserve, may_use_reserve));
         let wanted = ordinary.saturating_add(held.max(limit.reserve));
         let committed = (self.committed - before).saturating_add(limit.guarantee.max(wanted));
         // What does not raise the sum of commitments is inside a guarantee or a reserve, and always fits; the reserve
         // is to be had even where others still hold more than a cap that was cut.
         let room = wanted <= limit.cap && (committed <= self.plan.total || committed <= self.committed)
-            || precious && held <= limit.reserve;
+            || may_use_reserve && held <= limit.reserve;
         let share = self.teams.get(usize::from(team)).map_or(0, |t| t[at].saturating_add(bytes));
         if !room || share > self.plan.team_cap(purpose) {
             return Err(self.refuse(purpose));
         }
         let account = &mut self.accounts[at];
-        (account.ordinary, account.precious) = (ordinary, held);
+        (account.ordinary, account.may_use_reserve) = (ordinary, held);
         account.peak = account.peak.max(account.used());
         if let Some(team) = self.teams.get_mut(usize::from(team)) {
             team[at] += bytes;
@@ -144,16 +145,16 @@
     }
 
     /// Counts a refusal.
-    pub(super) fn refuse(&mut self, purpose: Purpose) -> Refused {
+    pub(super) fn refuse(&mut self, purpose: Purpose) -> MemoryRefusal {
         self.accounts[purpose as usize].refused += 1;
-        Refused { purpose }
+        MemoryRefusal { purpose }
     }
 
     /// Books bytes back. Only a [`super::Grant`] calls this, with what it was granted.
-    pub(super) fn give_back(&mut self, purpose: Purpose, team: u16, precious: bool, bytes: usize) {
+    pub(super) fn give_back(&mut self, purpose: Purpose, team: u16, may_use_reserve: bool, bytes: usize) {
         let (at, before) = (purpose as usize, self.commitment(purpose));
         let account = &mut self.accounts[at];
-        let part = if precious { &mut account.precious } else { &mut account.ordinary };
+        let part = if may_use_reserve { &mut account.may_use_reserve } else { &mut account.ordinary };
         debug_assert!(*part >= bytes, "{} gets back more than it gave", purpose.name());
         *part = part.saturating_sub(bytes);
         if let Some(team) = self.teams.get_mut(usize::from(team)) {
@@ -197,12 +198,12 @@
     /// How full an account is, of what all but the precious may have of it.
     pub fn fullness(&self, purpose: Purpose) -> f64 {
         let (account, limit) = (&self.accounts[purpose as usize], &self.plan.limits[purpose as usize]);
-        let spent = account.ordinary + account.precious.saturating_sub(limit.reserve);
+        let spent = account.ordinary + account.may_use_reserve.saturating_sub(limit.reserve);
         spent as f64 / limit.cap.saturating_sub(limit.reserve).max(1) as f64
     }
 
     /// One account as it is shown.
-    pub fn sight(&self, purpose: Purpose) -> AccountSnapshot {
+    pub fn snapshot(&self, purpose: Purpose) -> AccountSnapshot {
         let (a, limit) = (&self.accounts[purpose as usize], &self.plan.limits[purpose as usize]);
         AccountSnapshot {
             purpose,
@@ -221,7 +222,7 @@
     pub fn turn(&mut self) -> Vec<Notice> {
         let mut notices = Vec::new();
         for purpose in Purpose::ALL {
-            let sight = self.sight(purpose);
+            let sight = self.snapshot(purpose);
             let account = &mut self.accounts[purpose as usize];
             let fresh = account.refused > account.refused_before;
             account.refused_before = account.refused;
--- a/src/memory/grant.rs
+++ b/src/memory/grant.rs
@@ -2,7 +2,9 @@
 //! its bytes are back.
 
 use super::accounts::NO_TEAM;
-use super::{Accounts, Finding, Level, Notice, Plan, Pressure, Purpose, Refused, ResidentMemoryAudit, Seen};
+use super::{
+    Accounts, Finding, Level, MemoryRefusal, Notice, Plan, Pressure, Purpose, ResidentMemoryAudit, Seen,
+};
 use std::cell::{Cell, Ref, RefCell, RefMut};
 use std::fmt;
 use std::rc::Rc;
@@ -16,13 +18,13 @@
     /// The team below it, by its place in the contracts.
     pub team: Option<u16>,
     /// It may have the reserve: for classes that are never kept, and for what is begun.
-    pub precious: bool,
+    pub may_use_reserve: bool,
 }
 
 impl AccountOwner {
     /// Nobody's in particular.
     pub fn of(purpose: Purpose) -> Self {
-        AccountOwner { purpose, team: None, precious: false }
+        AccountOwner { purpose, team: None, may_use_reserve: false }
     }
 }
 
@@ -81,14 +83,14 @@
     }
 
     /// Waits until idle connections are to be closed that were not before.
-    pub async fn became_scarce(&self) {
+    pub async fn wait_until_scarce(&self) {
         self.0.became_scarce.notified().await;
     }
 
     /// May a request of so many bytes be taken now?
-    pub fn admits(&self, bytes: usize, precious: bool) -> bool {
+    pub fn admits(&self, bytes: usize, may_use_reserve: bool) -> bool {
         self.level();
-        self.0.pressure.borrow().admits(&self.accounts(), bytes, precious)
+        self.0.pressure.borrow().admits(&self.accounts(), bytes, may_use_reserve)
     }
 
     /// Is a client that has left so many bytes unread to be read from, and to be given more?
@@ -97,8 +99,8 @@
     }
 
     /// How many of so many idle connections are to be closed in this turn.
-    pub fn closes(&self, idle: usize) -> usize {
-        self.0.pressure.borrow().closes(idle)
+    pub fn idle_connections_to_close(&self, idle: usize) -> usize {
+        self.0.pressure.borrow().idle_connections_to_close(idle)
     }
 
     /// A turn: this was seen of the process. What is worth a line in the log.
@@ -116,26 +118,33 @@
     }
 
     /// A client connected, or left.
-    pub fn clients(&self, change: isize) {
+    pub fn adjust_client_count(&self, change: isize) {
         self.0.clients.set(self.0.clients.get().saturating_add_signed(change));
     }
 
     /// Asks for so many bytes.
-    pub fn ask(&self, holder: AccountOwner, bytes: usize) -> Result<Grant, Refused> {
-        let mut grant = self.empty(holder);
+    pub fn acquire(&self, holder: AccountOwner, bytes: usize) -> Result<Grant, MemoryRefusal> {
+        let mut grant = self.empty_grant(holder);
         grant.grow(bytes)?;
         Ok(grant)
     }
 
     /// Counts a refusal that the pressure asked for, though the account itself has room.
-    pub fn refuse(&self, purpose: Purpose) -> Refused {
+    pub fn count_refusal(&self, purpose: Purpose) -> MemoryRefusal {
         self.accounts_mut().refuse(purpose)
     }
 
     /// A grant of nothing yet, which may grow.
-    pub fn empty(&self, holder: AccountOwner) -> Grant {
-        let (team, precious) = (holder.team.unwrap_or(NO_TEAM), holder.precious);
-        Grant { ledger: Some(self.clone()), purpose: holder.purpose, team, precious, bytes: 0, leaf: None }
+    pub fn empty_grant(&self, holder: AccountOwner) -> Grant {
+        let (team, may_use_reserve) = (holder.team.unwrap_or(NO_TEAM), holder.may_use_reserve);
+        Grant {
+            ledger: Some(self.clone()),
+            purpose: holder.purpose,
+            team,
+            may_use_reserve,
+            bytes: 0,
+            leaf: None,
+        }
     }
 }
 
@@ -155,7 +164,7 @@
             self.0.level.get().name()
         )?;
         for purpose in Purpose::ALL {
-            let s = accounts.sight(purpose);
+            let s = accounts.snapshot(purpose);
             let name = purpose.name();
             write!(f, " {name}.now={} {name}.peak={} {name}.cap={}", s.now, s.peak, s.cap)?;
             write!(f, " {name}.guarantee={} {name}.reserve={}", s.guarantee, s.reserve)?;
@@ -171,7 +180,7 @@
     ledger: Option<Ledger>,
     purpose: Purpose,
     team: u16,
-    precious: bool,
+    may_use_reserve: bool,
     bytes: usize,
     /// A leaf of the tree: what one client holds, where that counts.
     leaf: Option<Rc<Cell<usize>>>,
@@ -184,7 +193,7 @@
             ledger: None,
             purpose: Purpose::Program,
             team: NO_TEAM,
-            precious: false,
+            may_use_reserve: false,
             bytes: 0,
             leaf: None,
         }
@@ -211,17 +220,17 @@
     }
 
     /// Is memory so scarce that idle buffers are released?
-    pub fn pressed(&self) -> bool {
+    pub fn should_release_buffers(&self) -> bool {
         self.ledger.as_ref().is_some_and(|l| l.0.level.get() >= Level::Compact)
     }
 
     /// Asks for more.
-    pub fn grow(&mut self, more: usize) -> Result<(), Refused> {
+    pub fn grow(&mut self, more: usize) -> Result<(), MemoryRefusal> {
         match &self.ledger {
             _ if more == 0 => Ok(()),
-            None => Err(Refused { purpose: self.purpose }),
+            None => Err(MemoryRefusal { purpose: self.purpose }),
             Some(ledger) => {
-                ledger.accounts_mut().take(self.purpose, self.team, self.precious, more)?;
+                ledger.accounts_mut().take(self.purpose, self.team, self.may_use_reserve, more)?;
                 self.bytes += more;
                 self.count(more, 0);
                 Ok(())
@@ -235,12 +244,12 @@
         self.bytes -= less;
         self.count(0, less);
         if let Some(ledger) = self.ledger.as_ref().filter(|_| less > 0) {
-            ledger.accounts_mut().give_back(self.purpose, self.team, self.precious, less);
+            ledger.accounts_mut().give_back(self.purpose, self.team, self.may_use_reserve, less);
         }
     }
 
     /// Grows or shrinks to so many bytes; unchanged where it is refused.
-    pub fn resize(&mut self, bytes: usize) -> Result<(), Refused> {
+    pub fn resize(&mut self, bytes: usize) -> Result<(), MemoryRefusal> {
         match bytes.checked_sub(self.bytes) {
             Some(more) => self.grow(more),
             None => {
@@ -259,7 +268,7 @@
             ledger: self.ledger.clone(),
             purpose: self.purpose,
             team: self.team,
-            precious: self.precious,
+            may_use_reserve: self.may_use_reserve,
             bytes,
             leaf,
         }
@@ -278,7 +287,8 @@
         };
         if !same
             || !leaf
-            || (self.purpose, self.team, self.precious) != (other.purpose, other.team, other.precious)
+            || (self.purpose, self.team, self.may_use_reserve)
+                != (other.purpose, other.team, other.may_use_reserve)
         {
             return Err(other);
         }
--- a/src/memory/grant/tests.rs
+++ b/src/memory/grant/tests.rs
@@ -1,10 +1,10 @@
 //! Tests of `grant.rs`.
 
-use crate::memory::{AccountLimits, AccountOwner, Ledger, Level, PURPOSES, Plan, Purpose};
+use crate::memory::{AccountOwner, Ledger, Level, LimitOverrides, PURPOSES, Plan, Purpose};
 
 /// What `limits.memory_mb = 32` gives, with this as the cap of what clients leave unread (bytes).
 fn plan(unread_cap: usize) -> Plan {
-    let mut limits = [AccountLimits::default(); PURPOSES];
+    let mut limits = [LimitOverrides::default(); PURPOSES];
     limits[Purpose::Unread as usize].cap = Some(unread_cap);
     Plan::new(32_000_000, &limits, 1.0).unwrap()
 }
@@ -16,7 +16,7 @@
     const REQUEST: usize = 2048;
     let (usual, cut) = (plan(3_000_000), plan(10_000));
     let ledger = Ledger::new(usual, 0);
-    let unread = ledger.ask(AccountOwner::of(Purpose::Unread), 1_440_000).unwrap();
+    let unread = ledger.acquire(AccountOwner::of(Purpose::Unread), 1_440_000).unwrap();
     // As read in a front whose program's file was mapped in large pieces.
     ledger.accounts_mut().observe(15_350_000);
     ledger.replan(cut);
--- a/src/memory/mod.rs
+++ b/src/memory/mod.rs
@@ -1,7 +1,7 @@
 //! Memory by purpose: an account, a guarantee and a cap for each use of a front's memory. It opens nothing and
 //! reads no clock; the one task that owns the front's sums asks the system and hands in what it says.
 //!
-//! Memory is asked for before it is used ([`Ledger::ask`]). What is granted is a value, [`Grant`], that only moves
+//! Memory is asked for before it is used ([`Ledger::acquire`]). What is granted is a value, [`Grant`], that only moves
 //! and gives back when it is dropped, so that no path can leak or give back twice. Accounts form a tree: the
 //! front, its purposes, and below each purpose the teams, where there are any.
 
@@ -13,9 +13,9 @@
 mod pressure;
 mod truth;
 
-pub use accounts::{AccountSnapshot, Accounts, Notice, Refused};
+pub use accounts::{AccountSnapshot, Accounts, MemoryRefusal, Notice};
 pub use grant::{AccountOwner, Grant, Ledger};
-pub use plan::{AccountLimits, Limit, Plan};
+pub use plan::{Limit, LimitOverrides, Plan};
 pub use pressure::{Level, Pressure, Thresholds};
 pub use truth::{Finding, ResidentMemoryAudit, Seen};
 
--- a/src/memory/model.rs
+++ b/src/memory/model.rs
@@ -10,7 +10,7 @@
 
 #[derive(Debug, Clone)]
 enum Step {
-    Ask { purpose: u8, team: u8, precious: bool, bytes: u16 },
+    Ask { purpose: u8, team: u8, may_use_reserve: bool, bytes: u16 },
     Grow { which: u8, bytes: u16 },
     Shrink { which: u8, bytes: u16 },
     Split { which: u8, bytes: u16 },
@@ -52,28 +52,30 @@
         let pick =
             |which: u8, held: &Vec<Held>| (!held.is_empty()).then(|| usize::from(which) % held.len().max(1));
         match *step {
-            Step::Ask { purpose, team, precious, bytes } => {
+            Step::Ask { purpose, team, may_use_reserve, bytes } => {
                 let purpose = Purpose::ALL[usize::from(purpose) % (PURPOSES - 1)];
                 let team = Some(u16::from(team)).filter(|t| *t < TEAMS);
-                let holder = AccountOwner { purpose, team, precious };
-                let before = ledger.accounts().sight(purpose);
-                let used = |precious| {
+                let holder = AccountOwner { purpose, team, may_use_reserve };
+                let before = ledger.accounts().snapshot(purpose);
+                let used = |may_use_reserve| {
                     held.iter()
-                        .filter(|h| h.holder.purpose == purpose && h.holder.precious == precious)
+                        .filter(|h| {
+                            h.holder.purpose == purpose && h.holder.may_use_reserve == may_use_reserve
+                        })
                         .map(|h| h.grant.bytes())
                         .sum::<usize>()
                 };
                 let (ordinary, precious_used) = (used(false), used(true));
                 let limit = ledger.accounts().plan().limits[purpose as usize];
-                match ledger.ask(holder, bytes.into()) {
+                match ledger.acquire(holder, bytes.into()) {
                     Ok(grant) => held.push(Held { grant, holder }),
                     Err(refused) => {
                         prop_assert_eq!(refused.purpose, purpose);
-                        let after = ledger.accounts().sight(purpose);
+                        let after = ledger.accounts().snapshot(purpose);
                         prop_assert_eq!((after.now, after.refused), (before.now, before.refused + 1));
                         let wanted = usize::from(bytes);
-                        let in_reserve = precious && precious_used + wanted <= limit.reserve;
-                        let in_guarantee = !precious
+                        let in_reserve = may_use_reserve && precious_used + wanted <= limit.reserve;
+                        let in_guarantee = !may_use_reserve
                             && ordinary + wanted + precious_used.max(limit.reserve) <= limit.guarantee;
                         let team_fits = team.is_none_or(|t| {
                             ledger.accounts().used_by(purpose, t) + wanted
@@ -139,7 +141,7 @@
                             if accounts.used(holder.purpose) < bytes || holder.team.is_some() {
                                 return Err(TestCaseError::fail("gets back more than it gave"));
                             }
-                            accounts.give_back(holder.purpose, team, holder.precious, 1);
+                            accounts.give_back(holder.purpose, team, holder.may_use_reserve, 1);
                         }
                         _ => drop(gone),
                     }
@@ -158,7 +160,7 @@
         for purpose in Purpose::ALL {
             let of = |h: &&Held| h.holder.purpose == purpose;
             let out: usize = held.iter().filter(of).map(|h| h.grant.bytes()).sum();
-            let sight = accounts.sight(purpose);
+            let sight = accounts.snapshot(purpose);
             let out = if purpose == Purpose::Program { observed } else { out };
             prop_assert_eq!(sight.now, out, "the sum of grants is not what is out of {}", purpose.name());
             prop_assert!(replanned || sight.now <= sight.cap, "{} is over its cap", purpose.name());
@@ -183,7 +185,7 @@
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let step = prop_oneof![
-        10 => (any::<u8>(), 0u8..5, any::<bool>(), 0u16..6_000).prop_map(|(purpose, team, precious, bytes)| Step::Ask { purpose, team, precious, bytes }),
+        10 => (any::<u8>(), 0u8..5, any::<bool>(), 0u16..6_000).prop_map(|(purpose, team, may_use_reserve, bytes)| Step::Ask { purpose, team, may_use_reserve, bytes }),
         4 => (any::<u8>(), 0u16..6_000).prop_map(|(which, bytes)| Step::Grow { which, bytes }),
         2 => (any::<u8>(), 0u16..6_000).prop_map(|(which, bytes)| Step::Shrink { which, bytes }),
         3 => (any::<u8>(), 0u16..6_000).prop_map(|(which, bytes)| Step::Split { which, bytes }),
@@ -220,16 +222,16 @@
     let ledger = Ledger::new(plan(100), 0);
     let mut all = Vec::new();
     for purpose in Purpose::ALL.into_iter().filter(|p| *p != Purpose::Program) {
-        let mut grant = ledger.empty(AccountOwner::of(purpose));
+        let mut grant = ledger.empty_grant(AccountOwner::of(purpose));
         while grant.grow(500).is_ok() {}
         all.push(grant);
     }
-    let refused = ledger.ask(AccountOwner::of(Purpose::Clients), 1_000).unwrap_err();
+    let refused = ledger.acquire(AccountOwner::of(Purpose::Clients), 1_000).unwrap_err();
     assert_eq!(refused.purpose, Purpose::Clients);
     for purpose in [Purpose::Clients, Purpose::Bodies, Purpose::Unread] {
-        let precious = AccountOwner { precious: true, ..AccountOwner::of(purpose) };
+        let may_use_reserve = AccountOwner { may_use_reserve: true, ..AccountOwner::of(purpose) };
         let reserve = plan(100).limits[purpose as usize].reserve;
-        all.push(ledger.ask(precious, reserve).expect("the reserve"));
+        all.push(ledger.acquire(may_use_reserve, reserve).expect("the reserve"));
     }
     // What refuses is told of once, and once when it has been quiet for a while.
     let refuses = |n: &Notice| matches!(n, Notice::Refuses(_));
--- a/src/memory/plan.rs
+++ b/src/memory/plan.rs
@@ -26,7 +26,7 @@
 
 /// What the operator wishes for one account; what is left out is set from the total.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct AccountLimits {
+pub struct LimitOverrides {
     /// In bytes.
     pub guarantee: Option<usize>,
     /// In bytes.
@@ -60,7 +60,7 @@
 impl Plan {
     /// A plan for so many bytes, with what the operator wishes of each account. An error names the keys that do
     /// not fit together, and the sums.
-    pub fn new(total: usize, wishes: &[AccountLimits; PURPOSES], team_share: f64) -> Result<Plan, String> {
+    pub fn new(total: usize, wishes: &[LimitOverrides; PURPOSES], team_share: f64) -> Result<Plan, String> {
         // Where the program's least is over its share, the others share what it leaves.
         let least = PROGRAM_LEAST.min(total / 2);
         let program = least.max((total as f64 * usual(Purpose::Program).0) as usize);
@@ -144,31 +144,31 @@
 
     #[test]
     fn what_is_wished_is_checked_as_a_whole() {
-        let none = [AccountLimits::default(); PURPOSES];
+        let none = [LimitOverrides::default(); PURPOSES];
         for total in [16_000_000, 32_000_000, 192_000_000, 4_000_000_000] {
             let plan = Plan::new(total, &none, 0.5).unwrap();
             assert!(plan.limits.iter().all(|l| l.reserve <= l.guarantee && l.guarantee <= l.cap));
         }
-        let wish = |purpose: Purpose, wish: AccountLimits| {
+        let wish = |purpose: Purpose, wish: LimitOverrides| {
             let mut all = none;
             all[purpose as usize] = wish;
             Plan::new(32_000_000, &all, 0.5)
         };
-        let guarantee = AccountLimits { guarantee: Some(20_000_000), ..AccountLimits::default() };
+        let guarantee = LimitOverrides { guarantee: Some(20_000_000), ..LimitOverrides::default() };
         let error = wish(Purpose::Unread, guarantee).unwrap_err();
         assert!(error.contains("'memory.unread.guarantee'") && error.contains("sum to"), "{error}");
         let error =
-            wish(Purpose::Bodies, AccountLimits { cap: Some(33_000_000), ..AccountLimits::default() })
+            wish(Purpose::Bodies, LimitOverrides { cap: Some(33_000_000), ..LimitOverrides::default() })
                 .unwrap_err();
         assert!(error.contains("'memory.bodies.cap' (33000000)"), "{error}");
-        let crossed = AccountLimits { guarantee: Some(3_000_000), cap: Some(2_000_000), reserve: None };
+        let crossed = LimitOverrides { guarantee: Some(3_000_000), cap: Some(2_000_000), reserve: None };
         assert!(wish(Purpose::Bodies, crossed).unwrap_err().contains("'memory.bodies.guarantee'"));
-        let lavish = AccountLimits { guarantee: Some(1_000_000), cap: None, reserve: Some(2_000_000) };
+        let lavish = LimitOverrides { guarantee: Some(1_000_000), cap: None, reserve: Some(2_000_000) };
         assert!(wish(Purpose::Bodies, lavish).unwrap_err().contains("'memory.bodies.reserve'"));
         // A cap alone draws the guarantee and the reserve along.
         let usual = Plan::new(32_000_000, &none, 0.5).unwrap().limits[Purpose::Bodies as usize];
         let plan =
-            wish(Purpose::Bodies, AccountLimits { cap: Some(usual.cap / 4), ..AccountLimits::default() })
+            wish(Purpose::Bodies, LimitOverrides { cap: Some(usual.cap / 4), ..LimitOverrides::default() })
                 .unwrap();
         let limit = plan.limits[Purpose::Bodies as usize];
         assert!(
--- a/src/memory/pressure.rs
+++ b/src/memory/pressure.rs
@@ -107,9 +107,9 @@
 
     /// May a request of so many bytes be taken now? One for which the reserve is there always may, as far as
     /// the accounts have room.
-    pub fn admits(&self, accounts: &Accounts, bytes: usize, precious: bool) -> bool {
+    pub fn admits(&self, accounts: &Accounts, bytes: usize, may_use_reserve: bool) -> bool {
         match self.level {
-            _ if precious => true,
+            _ if may_use_reserve => true,
             Level::ReserveOnly => false,
             Level::RefuseLarge => (bytes as f64) < LARGE * accounts.remainder().0 as f64,
             _ => true,
@@ -118,7 +118,7 @@
 
     /// How many of so many idle connections are to be closed in a turn: a tenth, the longest idle first, so that
     /// relief comes within a second and a passing burst costs few of them.
-    pub fn closes(&self, idle: usize) -> usize {
+    pub fn idle_connections_to_close(&self, idle: usize) -> usize {
         if self.level >= Level::CloseIdle { idle.div_ceil(10) } else { 0 }
     }
 
@@ -133,11 +133,11 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::memory::{AccountLimits, AccountOwner, Ledger, PURPOSES, Plan};
+    use crate::memory::{AccountOwner, Ledger, LimitOverrides, PURPOSES, Plan};
 
     #[test]
     fn levels_are_entered_in_order_and_left_with_hysteresis() {
-        let plan = Plan::new(100_000_000, &[AccountLimits::default(); PURPOSES], 1.0).unwrap();
+        let plan = Plan::new(100_000_000, &[LimitOverrides::default(); PURPOSES], 1.0).unwrap();
         let ledger = Ledger::new(plan, 0);
         let all = ledger.accounts().remainder().1;
         let guarantee = plan.limits[Purpose::Program as usize].guarantee;
@@ -169,20 +169,25 @@
         let free = ledger.accounts().remainder().0;
         assert!(large.admits(&ledger.accounts(), free / 10, false));
         assert!(!large.admits(&ledger.accounts(), free / 5, false));
-        assert_eq!((large.closes(25), Pressure::default().closes(25)), (3, 0));
+        assert_eq!(
+            (large.idle_connections_to_close(25), Pressure::default().idle_connections_to_close(25)),
+            (3, 0)
+        );
     }
 
     /// A full account of unread answers stops the reading of those who caused it, and of no others.
     #[test]
     fn the_slowest_are_held_up_where_their_account_is_full() {
-        let mut wishes = [AccountLimits::default(); PURPOSES];
+        let mut wishes = [LimitOverrides::default(); PURPOSES];
         wishes[Purpose::Unread as usize].cap = Some(10_000_000);
         let plan = Plan::new(100_000_000, &wishes, 1.0).unwrap();
         let ledger = Ledger::new(plan, 0);
         let limit = plan.limits[Purpose::Unread as usize];
-        let _full = ledger.ask(AccountOwner::of(Purpose::Unread), limit.cap - limit.reserve).unwrap();
-        let _precious =
-            ledger.ask(AccountOwner { precious: true, ..AccountOwner::of(Purpose::Unread) }, limit.reserve);
+        let _full = ledger.acquire(AccountOwner::of(Purpose::Unread), limit.cap - limit.reserve).unwrap();
+        let _precious = ledger.acquire(
+            AccountOwner { may_use_reserve: true, ..AccountOwner::of(Purpose::Unread) },
+            limit.reserve,
+        );
         let mut pressure = Pressure::default();
         assert!(pressure.look(&ledger.accounts()) >= Level::HoldSlow);
         assert!(!pressure.may_read(&ledger.accounts(), limit.cap / 10, 100));
--- a/src/memory/truth.rs
+++ b/src/memory/truth.rs
@@ -53,7 +53,7 @@
         };
         self.seen = seen;
         let rest = self.rest as usize;
-        let cap = accounts.sight(Purpose::Program).cap;
+        let cap = accounts.snapshot(Purpose::Program).cap;
         // No more than its cap is held against the others: what is beyond is told of, and may be what the system
         // can take back at any time (mapped files). A front that refused everything over it would be worse off.
         accounts.observe(rest.min(cap));
@@ -79,24 +79,24 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::memory::{AccountLimits, AccountOwner, Ledger, PURPOSES, Plan};
+    use crate::memory::{AccountOwner, Ledger, LimitOverrides, PURPOSES, Plan};
 
     #[test]
     fn the_rest_is_the_programs_and_its_growth_is_told_once() {
         let ledger =
-            Ledger::new(Plan::new(64_000_000, &[AccountLimits::default(); PURPOSES], 1.0).unwrap(), 0);
+            Ledger::new(Plan::new(64_000_000, &[LimitOverrides::default(); PURPOSES], 1.0).unwrap(), 0);
         let (mut truth, mut look) = (ResidentMemoryAudit::default(), Vec::new());
         for resident in [5_000_000, 5_500_000, 7_000_000, 7_100_000, 40_000_000, 41_000_000] {
             look.push(truth.look(&mut ledger.accounts_mut(), Seen { resident, ..Seen::default() }));
         }
-        let cap = ledger.accounts().sight(Purpose::Program).cap;
+        let cap = ledger.accounts().snapshot(Purpose::Program).cap;
         let usual = Finding::Usual;
         assert_eq!(
             look,
             [usual, usual, Finding::Grew(7_000_000), usual, Finding::Over(40_000_000, cap), usual]
         );
         // Memory that an account knows of is not the program's; the rest falls slowly.
-        let _held = ledger.ask(AccountOwner::of(Purpose::Clients), 2_000_000).unwrap();
+        let _held = ledger.acquire(AccountOwner::of(Purpose::Clients), 2_000_000).unwrap();
         for _ in 0..50 {
             truth.look(
                 &mut ledger.accounts_mut(),
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -2,12 +2,12 @@
 //! and ends. It decides nothing: health and the figures are read where they are published, and cordons go to the
 //! broker by queue, which answers once they are in force.
 
-use crate::broker::{Figures, Operator};
+use crate::broker::{Metrics, OperatorRequest};
 use crate::interface::NodeId;
 use crate::membership::{OperatorOverride, node_id};
-use crate::spread::HOMES;
+use crate::spread::HOME_RULE_VERSION;
 use crate::state::StateWorker;
-use crate::turns::{TaskKind, measured};
+use crate::turns::{TaskKind, track_polls};
 use crate::{clock, log};
 use std::cell::Cell;
 use std::collections::VecDeque;
@@ -88,9 +88,9 @@
     /// Whether this process takes clients.
     pub ready: Rc<Cell<bool>>,
     /// The figures.
-    pub figures: Rc<Figures>,
+    pub metrics: Rc<Metrics>,
     /// To the broker.
-    pub operators: UnboundedSender<Operator>,
+    pub operators: UnboundedSender<OperatorRequest>,
     /// The file of the cordons.
     pub store: StateWorker,
     /// The digest of the settings in force.
@@ -101,7 +101,7 @@
 
 /// The digest of a program's file, by which operators tell builds apart. It is read piece by piece: the whole of it
 /// would be more than a front may have.
-pub fn build(program: &std::path::Path) -> std::io::Result<u64> {
+pub fn program_digest(program: &std::path::Path) -> std::io::Result<u64> {
     let (mut file, mut piece) = (std::fs::File::open(program)?, vec![0; PIECE]);
     let mut digest = xxhash_rust::xxh3::Xxh3Default::new();
     loop {
@@ -122,10 +122,12 @@
             Err(why) => return format!("fail {why}\n"),
         };
         #[cfg(feature = "planted")]
-        match crate::planted::socket() {
-            crate::planted::Socket::Mute => std::future::pending().await,
-            crate::planted::Socket::Never if call == Call::Health => return "fail no: planted\n".into(),
-            crate::planted::Socket::Other if call == Call::Version => {
+        match crate::planted::operator_fault() {
+            crate::planted::OperatorFault::Mute => std::future::pending().await,
+            crate::planted::OperatorFault::NeverReady if call == Call::Health => {
+                return "fail no: planted\n".into();
+            }
+            crate::planted::OperatorFault::OtherBuild if call == Call::Version => {
                 return "ok build=0 settings=0 homes=0 pid=0\n".into();
             }
             _ => {}
@@ -133,8 +135,8 @@
         let hand = match call {
             Call::Health if self.ready.get() => return "ok yes\n".into(),
             Call::Health => return "fail no: this process takes no clients now\n".into(),
-            Call::Counters => return format!("ok\n{}eof\n", self.figures.render()),
-            Call::Slow => return format!("ok\n{}eof\n", self.figures.render_slow()),
+            Call::Counters => return format!("ok\n{}eof\n", self.metrics.render()),
+            Call::Slow => return format!("ok\n{}eof\n", self.metrics.render_slow()),
             Call::Version => return self.version().await,
             Call::Cordon(node) => OperatorOverride::Cordon(node),
             Call::Uncordon(node) => OperatorOverride::Uncordon(node),
@@ -144,13 +146,13 @@
         let _ = timeout_at(clock::instant(clock::now() + LOOK_PATIENCE), look).await;
         let (reply, answer) = oneshot::channel();
         // A call that the core can no longer take is dropped with its reply, which then says so.
-        let _ = self.operators.send(Operator::Call { hand, reply });
+        let _ = self.operators.send(OperatorRequest::Override { action: hand, reply });
         let (said, kept, number) = match answer.await {
             Ok(Ok(done)) => done,
             Ok(Err(why)) => return format!("fail {why}\n"),
             // The core has ended, and this process sends nothing more: the call is for the one that follows it.
             Err(_) => {
-                return match self.store.amend(hand, clock::now()).await {
+                return match self.store.apply_override(hand, clock::now()).await {
                     Ok(()) => format!(
                         "ok kept for the process that follows: {}\n",
                         line.trim_ascii().escape_ascii()
@@ -159,7 +161,7 @@
                 };
             }
         };
-        if let Err(e) = self.store.keep(number, kept).await {
+        if let Err(e) = self.store.write(number, kept).await {
             log!("cordons: cannot be kept: {e}");
             return format!("fail {said} in this process, but not kept for the next: {e}\n");
         }
@@ -170,20 +172,23 @@
     /// thread of its own.
     async fn version(&self) -> String {
         if self.build.get().is_none() {
-            let read = tokio::task::spawn_blocking(|| build("/proc/self/exe".as_ref())).await;
+            let read = tokio::task::spawn_blocking(|| program_digest("/proc/self/exe".as_ref())).await;
             match read.map_err(std::io::Error::other).and_then(|read| read) {
                 Ok(digest) => self.build.set(Some(digest)),
                 Err(e) => return format!("fail the program's file cannot be read: {e}\n"),
             }
         }
         let (build, settings) = (self.build.get().unwrap_or(0), self.settings.get());
-        format!("ok build={build:016x} settings={settings:016x} homes={HOMES} pid={}\n", std::process::id())
+        format!(
+            "ok build={build:016x} settings={settings:016x} homes={HOME_RULE_VERSION} pid={}\n",
+            std::process::id()
+        )
     }
 
     /// Hands the broker what the file says, if another process changed it.
     async fn look(self: Rc<Self>) {
-        if let Some(kept) = self.store.look().await {
-            let _ = self.operators.send(Operator::Kept(kept));
+        if let Some(kept) = self.store.read_if_changed().await {
+            let _ = self.operators.send(OperatorRequest::Restore(kept));
         }
     }
 
@@ -199,7 +204,7 @@
 /// Serves operators until the program ends.
 pub async fn serve(listener: TcpListener, context: Rc<AdminContext>) {
     let mut callers: VecDeque<JoinHandle<()>> = VecDeque::new();
-    spawn_local(measured(TaskKind::Operators, context.clone().watch_file()));
+    spawn_local(track_polls(TaskKind::Operators, context.clone().watch_file()));
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
@@ -209,7 +214,8 @@
                 {
                     first.abort();
                 }
-                callers.push_back(spawn_local(measured(TaskKind::Operators, call(stream, context.clone()))));
+                callers
+                    .push_back(spawn_local(track_polls(TaskKind::Operators, call(stream, context.clone()))));
             }
             Err(e) => {
                 log!("cannot accept an operator: {e}");
--- a/src/net/buffer.rs
+++ b/src/net/buffer.rs
@@ -2,7 +2,7 @@
 //! need beyond their connection's own from an account, before they use it.
 
 use super::ClientSocket;
-use crate::memory::{Grant, Refused};
+use crate::memory::{Grant, MemoryRefusal};
 use std::cell::Cell;
 use std::collections::VecDeque;
 use std::io::{self, IoSlice};
@@ -43,7 +43,7 @@
     }
 
     /// Another account, or holder, is asked from now on; not while the one before has granted something.
-    pub fn set_room(&mut self, room: impl FnOnce() -> Grant) {
+    pub fn set_grant(&mut self, room: impl FnOnce() -> Grant) {
         if self.room.bytes() == 0 {
             self.room = room();
         }
@@ -88,7 +88,7 @@
         if self.is_empty() {
             self.data.clear();
             self.head = 0;
-            if self.data.capacity() > self.keep || self.room.pressed() {
+            if self.data.capacity() > self.keep || self.room.should_release_buffers() {
                 self.data = Vec::new();
                 self.room.shrink(usize::MAX);
             }
@@ -103,12 +103,12 @@
     }
 
     /// How many bytes that are still to come will be passed over.
-    pub fn skipping(&self) -> usize {
+    pub fn bytes_to_skip(&self) -> usize {
         self.skip
     }
 
     /// Makes room for `wanted` bytes after those that are held: moves these to the front, and grows.
-    pub fn reserve(&mut self, wanted: usize) -> Result<(), Refused> {
+    pub fn reserve(&mut self, wanted: usize) -> Result<(), MemoryRefusal> {
         if self.data.capacity() - self.data.len() >= wanted {
             return Ok(());
         }
@@ -182,7 +182,7 @@
 
 /// One buffer's length of text beside the bodies: what a connection has room for as its own. It takes in no more
 /// requests while half of it is unsent; the rest is for what its open ones are answered with.
-pub const TEXT: usize = 8 * 1024;
+pub const OUTPUT_TEXT_BYTES: usize = 8 * 1024;
 /// Pieces that are written with one call.
 const PIECES: usize = 16;
 
@@ -222,8 +222,8 @@
     }
 
     /// Is so much text unsent that nothing more is to be taken in?
-    pub fn crowded(&self) -> bool {
-        self.text > TEXT / 2
+    pub fn has_text_backlog(&self) -> bool {
+        self.text > OUTPUT_TEXT_BYTES / 2
     }
 
     /// Appends text.
@@ -240,7 +240,7 @@
     }
 
     /// What is granted for this client's answers and not sent, for whoever decides whether it is to be given more.
-    pub fn reader(&self) -> Rc<Cell<usize>> {
+    pub fn unread_content(&self) -> Rc<Cell<usize>> {
         self.reader.clone()
     }
 
@@ -290,7 +290,7 @@
                 return;
             }
             if let Some(Part { mut data, body: None, .. }) = self.parts.pop_front()
-                && data.capacity() <= TEXT
+                && data.capacity() <= OUTPUT_TEXT_BYTES
             {
                 data.clear();
                 self.spare = data;
@@ -310,7 +310,7 @@
     /// A buffer outside of a front, which nothing limits.
     fn default() -> Self {
         use crate::memory::{AccountOwner, Ledger, Purpose};
-        Buffer::new(4096, Ledger::unlimited().empty(AccountOwner::of(Purpose::Caches)))
+        Buffer::new(4096, Ledger::unlimited().empty_grant(AccountOwner::of(Purpose::Caches)))
     }
 }
 
--- a/src/net/buffer/tests.rs
+++ b/src/net/buffer/tests.rs
@@ -12,7 +12,7 @@
 #[test]
 fn a_buffer_asks_before_it_grows_and_gives_back_when_empty() {
     let ledger = ledger(20_000);
-    let mut b = Buffer::new(1000, ledger.empty(AccountOwner::of(Purpose::Partial)));
+    let mut b = Buffer::new(1000, ledger.empty_grant(AccountOwner::of(Purpose::Partial)));
     assert!(b.push(&[1; 1000]) && ledger.accounts().used(Purpose::Partial) == 0, "its own");
     assert!(b.push(&[2; 7000]));
     assert_eq!(ledger.accounts().used(Purpose::Partial), 8192 - 1000);
@@ -24,22 +24,22 @@
     b.consume(usize::MAX);
     assert_eq!(ledger.accounts().sum(), 0);
     b.skip(7);
-    assert_eq!((b.skipping(), b.data.capacity()), (7, 0), "what is passed over costs nothing");
+    assert_eq!((b.bytes_to_skip(), b.data.capacity()), (7, 0), "what is passed over costs nothing");
 }
 
 /// Bodies keep their grants until their last byte is sent, and text stands between them in order.
 #[test]
 fn an_output_gives_bodies_back_as_they_are_sent() {
     let ledger = ledger(20_000);
-    let mut out = Output::new(ledger.empty(AccountOwner::of(Purpose::Unread)));
-    let body = |n: usize| (vec![b'b'; n], ledger.ask(AccountOwner::of(Purpose::Unread), n).unwrap());
+    let mut out = Output::new(ledger.empty_grant(AccountOwner::of(Purpose::Unread)));
+    let body = |n: usize| (vec![b'b'; n], ledger.acquire(AccountOwner::of(Purpose::Unread), n).unwrap());
     let ((one, first), (two, second)) = (body(3), body(4));
     out.push(b"head ");
     out.push(b"more ");
     out.push_body(one, 0..3, first, 7.0);
     out.push(b" tail");
     out.push_body(two, 1..3, second, 8.0);
-    assert_eq!((out.due(), out.reader().get()), (Some(7.0), 0));
+    assert_eq!((out.due(), out.unread_content().get()), (Some(7.0), 0));
     assert_eq!(out.bytes(), b"head more bbb tailbb");
     assert_eq!(ledger.accounts().used(Purpose::Unread), 7);
     out.consume(12);
@@ -48,8 +48,8 @@
     assert_eq!(ledger.accounts().used(Purpose::Unread), 4);
     out.consume(7);
     assert!(out.is_empty() && out.text == 0 && ledger.accounts().sum() == 0);
-    (0..TEXT / 2).for_each(|_| out.push(b"x"));
-    assert!(!out.crowded());
+    (0..OUTPUT_TEXT_BYTES / 2).for_each(|_| out.push(b"x"));
+    assert!(!out.has_text_backlog());
     out.push(b"x");
-    assert!(out.crowded());
+    assert!(out.has_text_backlog());
 }
--- a/src/net/client_socket.rs
+++ b/src/net/client_socket.rs
@@ -33,15 +33,15 @@
 
     /// Writes what the system takes without waiting.
     pub fn try_write_vectored(&self, pieces: &[IoSlice<'_>]) -> io::Result<usize> {
-        self.send_queue.before_write(&self.stream);
+        self.send_queue.prepare_write(&self.stream);
         let written = self.stream.try_write_vectored(pieces)?;
-        self.send_queue.wrote(written);
+        self.send_queue.record_write(written);
         Ok(written)
     }
 
     /// Waits until what was found to be undelivered may have been delivered.
     pub async fn delivery_changed(&self) -> io::Result<()> {
-        self.send_queue.changed(&self.stream).await
+        self.send_queue.delivery_changed(&self.stream).await
     }
 }
 
--- a/src/net/clients.rs
+++ b/src/net/clients.rs
@@ -9,9 +9,9 @@
 pub(super) use session::Session;
 
 use super::ListenerState;
-use crate::broker::{ClientRequest, Contracts, Figures, Input};
+use crate::broker::{ClientRequest, Contracts, Input, Metrics};
 use crate::config::Classes;
-use crate::memory::{Ledger, Refused};
+use crate::memory::{Ledger, MemoryRefusal};
 use connection::ClientConnection;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -19,9 +19,9 @@
 use tokio::sync::mpsc::Sender;
 
 /// What all client connections share.
-pub struct Front {
+pub struct ClientContext {
     /// To the broker.
-    pub asks: Sender<Input>,
+    pub broker_inputs: Sender<Input>,
     /// The classes by name.
     pub classes: Rc<Classes>,
     /// The teams, if any are configured; requests then name theirs in `org`.
@@ -29,29 +29,29 @@
     /// Whether health checks are answered with yes.
     pub ready: Rc<Cell<bool>>,
     /// Most connections.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Numbers for connections, shared by all fronts.
     pub numbers: Rc<Cell<u64>>,
     /// What holds connections, requests and answers.
     pub memory: Ledger,
     /// What a refusal of this front's own says (seconds).
-    pub wait: f64,
+    pub pushback: f64,
     /// What operators read: the answers that this front gives of its own are counted here.
-    pub figures: Rc<Figures>,
+    pub metrics: Rc<Metrics>,
 }
 
-impl Front {
+impl ClientContext {
     /// Takes memory for a request and for its body, which it has from then on.
-    fn hold(&self, mut ask: ClientRequest, body: &[u8]) -> Result<ClientRequest, Refused> {
-        ask.hold(&self.memory, self.classes.uncacheable(ask.class), body.len())?;
+    fn hold(&self, mut ask: ClientRequest, body: &[u8]) -> Result<ClientRequest, MemoryRefusal> {
+        ask.reserve_memory(&self.memory, self.classes.uncacheable(ask.class), body.len())?;
         ask.body = body.to_vec();
         Ok(ask)
     }
 }
 
 /// Accepts clients until the program ends, or the front takes no more.
-pub async fn accept(listener: TcpListener, front: Rc<Front>, state: Rc<ListenerState>) {
-    let (connections, memory) = (front.connections, front.memory.clone());
+pub async fn accept(listener: TcpListener, front: Rc<ClientContext>, state: Rc<ListenerState>) {
+    let (connections, memory) = (front.max_connections, front.memory.clone());
     let serve = move |socket, slot, grant| ClientConnection::new(front.clone(), socket, slot, grant).serve();
     super::accept(listener, state, connections, memory, serve).await;
 }
--- a/src/net/clients/connection.rs
+++ b/src/net/clients/connection.rs
@@ -1,6 +1,6 @@
 //! The task of one client connection: what it waits for, what it reads and writes, and how it ends.
 
-use super::Front;
+use super::ClientContext;
 use super::session::Session;
 use super::timers::{IDLE, STALLED, Timers, WHOLE, Wait};
 use crate::broker::Answer;
@@ -9,8 +9,8 @@
 use crate::net::closing::has_input;
 use crate::net::resp::FrameError;
 use crate::net::{
-    Buffer, ClientSocket, ConnectionSlot, DELIVERY_CHECK_INTERVAL, Delivery, INPUT, PEER_CHECK_INTERVAL,
-    SendState, Unreadable, linger, peer_has_closed, readable_within_window,
+    Buffer, ClientSocket, ConnectionSlot, DELIVERY_CHECK_INTERVAL, Delivery, PEER_CHECK_INTERVAL,
+    ProtocolError, READ_CHUNK_BYTES, SendState, linger, peer_has_closed, readable_within_window,
 };
 use std::io;
 use std::rc::Rc;
@@ -37,14 +37,14 @@
 /// Why a connection is closed.
 enum Ended {
     /// What it said cannot be read.
-    Unreadable(FrameError),
+    ProtocolError(FrameError),
     /// The connection itself.
     Io(io::Error),
 }
 
 impl From<FrameError> for Ended {
     fn from(broken: FrameError) -> Self {
-        Ended::Unreadable(broken)
+        Ended::ProtocolError(broken)
     }
 }
 
@@ -67,7 +67,7 @@
 
 impl ClientConnection {
     pub(super) fn new(
-        front: Rc<Front>,
+        front: Rc<ClientContext>,
         socket: Rc<ClientSocket>,
         slot: ConnectionSlot,
         grant: Grant,
@@ -86,7 +86,7 @@
     pub(super) async fn serve(mut self) -> io::Result<()> {
         self.socket.set_nodelay(true)?;
         let ended = self.exchange().await;
-        if let Err(Ended::Unreadable(broken)) = &ended {
+        if let Err(Ended::ProtocolError(broken)) = &ended {
             self.session.fail_open(broken.tag);
         }
         // A connection that ends takes its requests with it, before anything is waited for: no answer is owed where none
@@ -98,9 +98,9 @@
                 Ok(())
             }
             Ok(End::ByClient) => Ok(()),
-            Err(Ended::Unreadable(broken)) => {
+            Err(Ended::ProtocolError(broken)) => {
                 self.close().await;
-                Err(io::Error::new(io::ErrorKind::InvalidData, broken.why.0))
+                Err(io::Error::new(io::ErrorKind::InvalidData, broken.error.0))
             }
             Err(Ended::Io(e)) => match e.kind() {
                 io::ErrorKind::ConnectionReset | io::ErrorKind::BrokenPipe => Ok(()),
@@ -112,7 +112,7 @@
     /// Nobody waits for what is open.
     async fn cancel_open_requests(&mut self) {
         for abort in self.session.cancel_open() {
-            let _ = self.session.front.asks.send(abort).await;
+            let _ = self.session.front.broker_inputs.send(abort).await;
         }
     }
 
@@ -127,15 +127,15 @@
     /// Reads requests and writes answers until the connection ends.
     async fn exchange(&mut self) -> Result<End, Ended> {
         let socket = self.socket.clone();
-        let bodies = self.session.front.memory.empty(AccountOwner::of(Purpose::Bodies));
-        let mut input = Buffer::new(INPUT, bodies);
+        let bodies = self.session.front.memory.empty_grant(AccountOwner::of(Purpose::Bodies));
+        let mut input = Buffer::new(READ_CHUNK_BYTES, bodies);
         let mut timers = Timers::new(clock::now());
         loop {
             self.write_answers(&mut timers)?;
             if self.reads_until.is_infinite() && self.slot.closes_behind_answers() {
                 self.reads_until = clock::now() + LAST_READS;
             }
-            let half_a_frame = !input.is_empty() || input.skipping() > 0;
+            let half_a_frame = !input.is_empty() || input.bytes_to_skip() > 0;
             let wait = self.plan(half_a_frame, &mut timers);
             let throttled_until = wait.throttled_until.unwrap_or(wait.now);
             let next_peer_check = wait.now + PEER_CHECK_INTERVAL;
@@ -207,14 +207,15 @@
         let unsent = output.len();
         // One that leaves much unread is not read from, and sooner while all do.
         let may_read = self.session.front.memory.may_read(unsent);
-        let held_back = unsent > UNSENT_MOST || output.crowded() || !may_read || self.reads_ended(now);
+        let held_back =
+            unsent > UNSENT_MOST || output.has_text_backlog() || !may_read || self.reads_ended(now);
         let writes = !output.is_empty();
         // What is still unread so long after it was due is of no use to its client any more; where memory is scarce,
         // it has no such time.
         let slack = if may_read { STALLED } else { 0.0 };
         let stalled_by = output.due().map_or(timers.stalled_at, |due| timers.stalled_at.min(due + slack));
         let nothing_owed = !writes && self.session.open.is_empty();
-        let untaken = nothing_owed && self.slot.is_unsent();
+        let untaken = nothing_owed && self.slot.is_send_blocked();
         let idle = nothing_owed && !untaken;
         let was_untaken = timers.taken_by.is_some();
         timers.taken_by = untaken.then_some(timers.taken_by.unwrap_or(timers.idle_at + STALLED));
@@ -301,7 +302,7 @@
     async fn time_out(&self, wait: &Wait, timers: &mut Timers) -> Result<Option<End>, Ended> {
         let now = clock::now();
         if timers.whole_by.is_some_and(|by| now >= by) {
-            return Err(FrameError { why: Unreadable("half a frame and no more"), tag: None }.into());
+            return Err(FrameError { error: ProtocolError("half a frame and no more"), tag: None }.into());
         }
         let untaken = timers.taken_by.is_some_and(|by| now >= by);
         if untaken || wait.writes && now >= wait.stalled_by {
@@ -332,11 +333,11 @@
     /// Takes the whole frames off the buffer; was there one?
     async fn take_frames(&mut self, input: &mut Buffer) -> Result<bool, Ended> {
         let mut any = false;
-        while let Some(heard) = self.session.take(clock::now(), input)? {
+        while let Some(heard) = self.session.process_frame(clock::now(), input)? {
             any = true;
             if let Some(heard) = heard {
                 let ended = |_| io::Error::other("the broker has ended");
-                self.session.front.asks.send(heard).await.map_err(ended)?;
+                self.session.front.broker_inputs.send(heard).await.map_err(ended)?;
             }
         }
         Ok(any)
--- a/src/net/clients/request.rs
+++ b/src/net/clients/request.rs
@@ -3,7 +3,7 @@
 use crate::broker::{ClientRequest, Contracts};
 use crate::config::Classes;
 use crate::interface::{ClassId, GroupId, ObjectId};
-use crate::net::{amount, number};
+use crate::net::{parse_non_negative, parse_u64};
 
 /// The answer is to be out so long before the client gives up, whose `ttl` counts from its own send: this share of the `ttl`,
 /// which is to hold what a busy machine adds on both ways, within these bounds (seconds). The most is what the platform's
@@ -58,22 +58,22 @@
         }
         match name {
             b"call" => ask.call = hex(value)?,
-            b"ttl" => ttl = Some(amount(value).filter(|t| (1.0..=TTL_MOST).contains(t))?),
-            b"rep" => ask.repeat = number(value).filter(|&r| r < 2)? == 1,
+            b"ttl" => ttl = Some(parse_non_negative(value).filter(|t| (1.0..=TTL_MOST).contains(t))?),
+            b"rep" => ask.is_retry = parse_u64(value).filter(|&r| r < 2)? == 1,
             b"dedupe" => ask.key = Some(token(value, 128)?),
             b"row" => {
                 ask.asset = hex(value)?;
                 ask.object = ObjectId(u64::from_str_radix(&ask.asset, 16).ok()?);
             }
-            b"slice" => ask.part = number(value).filter(|&p| p < PARTS)? as u32,
-            b"set" => ask.group = GroupId(number(value).filter(|&g| g < GROUPS)? as u32),
-            b"heap" => ask.kb = amount(value).filter(|&kb| kb <= KB_MOST)?,
-            b"org" => ask.team = contracts.named(value),
-            b"seen" => ask.have = Some(token(value, 128)?),
+            b"slice" => ask.part = parse_u64(value).filter(|&p| p < PARTS)? as u32,
+            b"set" => ask.group = GroupId(parse_u64(value).filter(|&g| g < GROUPS)? as u32),
+            b"heap" => ask.size_kb = parse_non_negative(value).filter(|&kb| kb <= KB_MOST)?,
+            b"org" => ask.team = contracts.find(value),
+            b"seen" => ask.client_etag = Some(token(value, 128)?),
             _ => {}
         }
     }
-    let (longest, keyed) = classes.asks(class);
+    let (longest, keyed) = classes.client_rules(class);
     let waits = (ttl? / 1000.0).min(longest);
     ask.deadline = now + waits - (waits * MARGIN_SHARE).clamp(MARGIN_LEAST, MARGIN_MOST);
     let whole = !ask.call.is_empty() && !ask.asset.is_empty() && (!keyed || ask.key.is_some());
--- a/src/net/clients/session.rs
+++ b/src/net/clients/session.rs
@@ -1,11 +1,11 @@
 //! One client connection's requests and answers, without the socket.
 
-use super::{Front, request};
+use super::{ClientContext, request};
 use crate::broker::{Answer, Caller, Count, Input};
 use crate::interface::ClassId;
 use crate::memory::{AccountOwner, Purpose};
 use crate::net::resp::{self, Command, FrameError};
-use crate::net::{Buffer, Output, Unreadable};
+use crate::net::{Buffer, Output, ProtocolError};
 use rustc_hash::FxHashMap;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -29,7 +29,7 @@
 
 /// One connection's requests and answers, without the socket.
 pub(in crate::net) struct Session {
-    pub(super) front: Rc<Front>,
+    pub(super) front: Rc<ClientContext>,
     number: u64,
     /// The tags of what is open.
     pub(super) open: FxHashMap<u64, Taken>,
@@ -44,10 +44,12 @@
 }
 
 impl Session {
-    pub(in crate::net) fn new(front: Rc<Front>, reply: UnboundedSender<(u64, Answer)>) -> Self {
+    pub(in crate::net) fn new(front: Rc<ClientContext>, reply: UnboundedSender<(u64, Answer)>) -> Self {
         let number = front.numbers.get() + 1;
         front.numbers.set(number);
-        let unread = front.memory.empty(AccountOwner { precious: true, ..AccountOwner::of(Purpose::Unread) });
+        let unread = front
+            .memory
+            .empty_grant(AccountOwner { may_use_reserve: true, ..AccountOwner::of(Purpose::Unread) });
         Session {
             front,
             number,
@@ -73,19 +75,19 @@
     }
 
     /// Takes one whole frame off the buffer: `None` if there is none, else what the broker is to hear of it.
-    pub(in crate::net) fn take(
+    pub(in crate::net) fn process_frame(
         &mut self,
         now: f64,
         input: &mut Buffer,
     ) -> Result<Option<Option<Input>>, FrameError> {
         // What is owed to a client that does not read must not outgrow the connection's own.
-        if self.reads_at(now) > now || self.output.crowded() {
+        if self.reads_at(now) > now || self.output.has_text_backlog() {
             return Ok(None);
         }
         let Some((command, used)) = resp::parse(input.bytes())? else {
             return Ok(self.refuse_announced(input));
         };
-        let mut say = |tag, word| resp::answer(&mut self.output, tag, word, "", None);
+        let mut say = |tag, word| resp::write_answer(&mut self.output, tag, word, "", None);
         let [mut cost, refused, unusable] = COSTS;
         let mut usable = true;
         let heard = match command {
@@ -105,7 +107,7 @@
             }
             // Two answers under one tag could not be told apart.
             Command::Request { tag, .. } if self.open.contains_key(&tag) => {
-                return Err(FrameError { why: Unreadable("a tag that is in use"), tag: None });
+                return Err(FrameError { error: ProtocolError("a tag that is in use"), tag: None });
             }
             Command::Request { tag, class, fields, body } => {
                 let front = &self.front;
@@ -120,24 +122,24 @@
                     None => {
                         say(tag, "fault");
                         if let Some(class) = class {
-                            front.figures.count(class, Count::Failure);
+                            front.metrics.count(class, Count::Failure);
                         }
                         (cost, usable) = (unusable, false);
                         None
                     }
                     Some(None) => {
-                        front.figures.count(class.unwrap_or_default(), Count::Busy);
-                        self.refuse(tag, self.front.wait);
+                        front.metrics.count(class.unwrap_or_default(), Count::Busy);
+                        self.refuse(tag, self.front.pushback);
                         cost = refused;
                         None
                     }
                     Some(Some(mut ask)) => {
-                        let gone = ask.gone.clone();
+                        let gone = ask.cancelled.clone();
                         self.open.insert(tag, Taken { due: ask.deadline, class: ask.class, gone });
-                        ask.reader = Some(self.output.reader());
-                        Some(Input::Ask {
+                        ask.unread_bytes = Some(self.output.unread_content());
+                        Some(Input::Request {
                             caller: self.caller(tag),
-                            ask: ask.into(),
+                            request: ask.into(),
                             reply: self.reply.clone(),
                         })
                     }
@@ -153,20 +155,22 @@
     /// A request whose body is still to come: there is memory for all of it, or it is refused now and its bytes are
     /// passed over as they come.
     fn refuse_announced(&mut self, input: &mut Buffer) -> Option<Option<Input>> {
-        let resp::Pending { tag, class, body, total } = resp::pending(input.bytes())?;
+        let resp::PartialRequest { tag, class, body, total } = resp::parse_partial_request(input.bytes())?;
         let front = &self.front;
         let class = front.classes.get(class);
-        let precious = class.is_some_and(|c| front.classes.uncacheable(c));
-        input.set_room(|| front.memory.empty(AccountOwner { precious, ..AccountOwner::of(Purpose::Bodies) }));
-        let admitted = self.open.len() < OPEN_MOST && front.memory.admits(body, precious);
+        let may_use_reserve = class.is_some_and(|c| front.classes.uncacheable(c));
+        input.set_grant(|| {
+            front.memory.empty_grant(AccountOwner { may_use_reserve, ..AccountOwner::of(Purpose::Bodies) })
+        });
+        let admitted = self.open.len() < OPEN_MOST && front.memory.admits(body, may_use_reserve);
         if admitted && input.reserve(total - input.len()).is_ok() || self.open.contains_key(&tag) {
             return None;
         }
         input.skip(total);
         if let Some(class) = class {
-            front.figures.count(class, Count::Busy);
+            front.metrics.count(class, Count::Busy);
         }
-        self.refuse(tag, self.front.wait);
+        self.refuse(tag, self.front.pushback);
         self.credit.0 -= COSTS[1];
         self.spoken = true;
         Some(None)
@@ -183,11 +187,11 @@
     /// [`Session::cancel_open`].
     pub(in crate::net) fn fail_open(&mut self, tag: Option<u64>) {
         for (&tag, taken) in &self.open {
-            self.front.figures.count(taken.class, Count::Failure);
-            resp::answer(&mut self.output, tag, "fault", "", None);
+            self.front.metrics.count(taken.class, Count::Failure);
+            resp::write_answer(&mut self.output, tag, "fault", "", None);
         }
         if let Some(tag) = tag.filter(|tag| !self.open.contains_key(tag)) {
-            resp::answer(&mut self.output, tag, "fault", "", None);
+            resp::write_answer(&mut self.output, tag, "fault", "", None);
         }
     }
 
@@ -195,15 +199,15 @@
         // After an abort none is owed, and one that crossed it is dropped.
         let Some(Taken { due, .. }) = self.open.remove(&tag) else { return };
         match answer {
-            Answer::Served(content) if content.current => {
-                resp::answer(&mut self.output, tag, "ok", "current=1", None);
+            Answer::Served(content) if content.not_modified => {
+                resp::write_answer(&mut self.output, tag, "ok", "current=1", None);
             }
             Answer::Served(content) => {
-                resp::answer(&mut self.output, tag, "ok", "", Some((content.body, content.grant, due)));
+                resp::write_answer(&mut self.output, tag, "ok", "", Some((content.body, content.grant, due)));
             }
             Answer::Refused(wait) | Answer::OverBudget(wait) => self.refuse(tag, wait),
-            Answer::Failed | Answer::Late | Answer::Forbidden => {
-                resp::answer(&mut self.output, tag, "fault", "", None);
+            Answer::Failed | Answer::DeadlineExceeded | Answer::Forbidden => {
+                resp::write_answer(&mut self.output, tag, "fault", "", None);
             }
         }
     }
@@ -213,6 +217,6 @@
             true => format!("pushback={}", (wait * 1000.0).ceil()),
             false => String::new(),
         };
-        resp::answer(&mut self.output, tag, "full", &fields, None);
+        resp::write_answer(&mut self.output, tag, "full", &fields, None);
     }
 }
--- a/src/net/connection_memory.rs
+++ b/src/net/connection_memory.rs
@@ -2,7 +2,7 @@
 
 use super::closing::{FINAL_READ_WINDOW, has_input};
 use super::connections::{ConnectionSlot, ConnectionTable, IDLE_GRACE};
-use super::{ClientSocket, INPUT, TEXT};
+use super::{ClientSocket, OUTPUT_TEXT_BYTES, READ_CHUNK_BYTES};
 use crate::clock;
 use crate::memory::{AccountOwner, Grant, Ledger, Purpose};
 use std::cell::RefCell;
@@ -13,7 +13,7 @@
 
 /// What a client connection has as its own beside the text of its answers: its task, its tables, and what is
 /// read at once (bytes).
-const CONNECTION_BYTES: usize = 4 * 1024 + INPUT;
+const CONNECTION_BYTES: usize = 4 * 1024 + READ_CHUNK_BYTES;
 /// While memory is scarce, idle connections are looked at this often (seconds).
 pub(super) const RELIEF_INTERVAL: f64 = 0.1;
 /// So many idle connections are closed at a time, while there is no memory for a new one.
@@ -95,7 +95,7 @@
     }
 
     fn ask(&self) -> Option<Grant> {
-        self.ledger.ask(AccountOwner::of(Purpose::Clients), CONNECTION_BYTES + TEXT).ok()
+        self.ledger.acquire(AccountOwner::of(Purpose::Clients), CONNECTION_BYTES + OUTPUT_TEXT_BYTES).ok()
     }
 
     /// Closes some idle connections whose clients lose nothing; were there any?
--- a/src/net/connections.rs
+++ b/src/net/connections.rs
@@ -484,7 +484,7 @@
 
     /// Is something that was written known to be unsent, or without room at the client? Once all connections close, the
     /// client's time to read its last answer begins as that is sent, so that the system is asked.
-    pub fn is_unsent(&self) -> bool {
+    pub fn is_send_blocked(&self) -> bool {
         match self.is_closing_all() {
             true => self.entry.socket.delivery().is_blocked(),
             false => self.entry.socket.is_known_unsent(),
--- a/src/net/coordinator.rs
+++ b/src/net/coordinator.rs
@@ -2,8 +2,8 @@
 //! and connects again after a gap, a broken frame or silence. Events come by no other way.
 
 use super::frames::{self, Frame};
-use super::{Buffer, Live, Unreadable};
-use crate::broker::News;
+use super::{Buffer, ProtocolError, Reloadable};
+use crate::broker::DiscoveryUpdate;
 use crate::memory::{AccountOwner, Ledger, Purpose};
 use crate::{clock, log};
 use std::net::SocketAddr;
@@ -53,27 +53,27 @@
 
 /// What to do with a frame.
 #[derive(Debug, PartialEq)]
-pub enum Step {
+pub enum FrameAction {
     /// Hand it on.
-    Take(News),
+    Deliver(DiscoveryUpdate),
     /// It was had before, or holds nothing.
     Skip,
     /// Something before it is missing: ask again from the last number.
-    Resume,
+    Reconnect,
 }
 
 /// Where the feed stands: the last number had, and whether a gap was met at that number before.
 #[derive(Debug, Default)]
-pub struct Feed {
+pub struct FeedPosition {
     /// Number of the last event that was handed on.
-    pub last: u64,
+    pub last_number: u64,
     gap: bool,
 }
 
-impl Feed {
+impl FeedPosition {
     /// A feed that goes on after `last`.
     pub fn new(last: u64) -> Self {
-        Feed { last, gap: false }
+        FeedPosition { last_number: last, gap: false }
     }
 
     /// Another coordinator is asked from now on: what the old one had forgotten it may still have.
@@ -84,17 +84,17 @@
     /// Judges a frame. Guards against a lost frame (a purge or a drain never heard of) and against one that
     /// comes twice after a reconnect. A gap that is still there when asked again from the last number will
     /// not close: the coordinator has forgotten what lay in it, and what it does have is taken.
-    pub fn judge(&mut self, number: u64, frame: Frame) -> Step {
+    pub fn advance(&mut self, number: u64, frame: Frame) -> FrameAction {
         match frame {
-            Frame::Idle if number <= self.last || self.gap => Step::Skip,
-            Frame::News(_) if number <= self.last => Step::Skip,
-            Frame::News(news) if number == self.last + 1 || self.gap => {
-                (self.last, self.gap) = (number, false);
-                Step::Take(news)
+            Frame::Heartbeat if number <= self.last_number || self.gap => FrameAction::Skip,
+            Frame::Event(_) if number <= self.last_number => FrameAction::Skip,
+            Frame::Event(news) if number == self.last_number + 1 || self.gap => {
+                (self.last_number, self.gap) = (number, false);
+                FrameAction::Deliver(news)
             }
             _ => {
                 self.gap = true;
-                Step::Resume
+                FrameAction::Reconnect
             }
         }
     }
@@ -103,16 +103,16 @@
 /// Follows the coordinator for ever, also to another address: from the last number had, so that no event is
 /// missed or heard twice. A session that the change cuts hands on an event at once or not at all.
 pub async fn follow(
-    address: Rc<Live<SocketAddr>>,
+    address: Rc<Reloadable<SocketAddr>>,
     last: u64,
     seed: u64,
-    news: UnboundedSender<News>,
+    news: UnboundedSender<DiscoveryUpdate>,
     memory: Ledger,
 ) {
-    let mut feed = Feed::new(last);
+    let mut feed = FeedPosition::new(last);
     let mut backoff = Backoff::new(seed);
     loop {
-        let (before, now) = (feed.last, address.get());
+        let (before, now) = (feed.last_number, address.get());
         let why = tokio::select! {
             biased;
             () = address.changed() => None,
@@ -127,11 +127,11 @@
         let Some(why) = why else {
             feed.moved();
             backoff.reset();
-            log!("coordinator {} is followed from {}, no longer {now}", address.get(), feed.last);
+            log!("coordinator {} is followed from {}, no longer {now}", address.get(), feed.last_number);
             continue;
         };
-        log!("coordinator {now}: {why}; again from {}", feed.last);
-        let pause = backoff.pause(feed.last > before);
+        log!("coordinator {now}: {why}; again from {}", feed.last_number);
+        let pause = backoff.pause(feed.last_number > before);
         tokio::select! {
             biased;
             () = address.changed() => {
@@ -172,16 +172,16 @@
 /// One connection, until it fails; says why.
 async fn session(
     address: SocketAddr,
-    feed: &mut Feed,
-    news: &UnboundedSender<News>,
+    feed: &mut FeedPosition,
+    news: &UnboundedSender<DiscoveryUpdate>,
     memory: &Ledger,
 ) -> std::io::Result<&'static str> {
     let mut stream = connect(address).await?;
     stream.set_nodelay(true)?;
-    stream.write_all(&feed.last.to_be_bytes()).await?;
+    stream.write_all(&feed.last_number.to_be_bytes()).await?;
     // News are more precious than anything they could push out: no list or purge is missed for want of memory.
-    let holder = AccountOwner { precious: true, ..AccountOwner::of(Purpose::Learned) };
-    let mut buffer = Buffer::new(OWN, memory.empty(holder));
+    let holder = AccountOwner { may_use_reserve: true, ..AccountOwner::of(Purpose::Learned) };
+    let mut buffer = Buffer::new(OWN, memory.empty_grant(holder));
     let mut silent_at = clock::instant(clock::now() + SILENT_AFTER);
     loop {
         let Ok(ready) = timeout_at(silent_at, stream.readable()).await else { return Ok("silence") };
@@ -196,18 +196,18 @@
             let (number, frame, used) = match frames::parse(buffer.bytes()) {
                 Ok(Some(frame)) => frame,
                 Ok(None) => break,
-                Err(Unreadable(why)) => return Ok(why),
+                Err(ProtocolError(why)) => return Ok(why),
             };
             buffer.consume(used);
             silent_at = clock::instant(clock::now() + SILENT_AFTER);
-            match feed.judge(number, frame) {
-                Step::Take(event) => {
+            match feed.advance(number, frame) {
+                FrameAction::Deliver(event) => {
                     if news.send(event).is_err() {
                         return Ok("the broker has ended");
                     }
                 }
-                Step::Skip => {}
-                Step::Resume => return Ok("a gap in the numbers"),
+                FrameAction::Skip => {}
+                FrameAction::Reconnect => return Ok("a gap in the numbers"),
             }
         }
     }
--- a/src/net/coordinator/tests.rs
+++ b/src/net/coordinator/tests.rs
@@ -28,12 +28,12 @@
 /// Follows this address, and gives what the test makes of the news.
 fn following<T, F: Future<Output = T>>(
     address: SocketAddr,
-    test: impl FnOnce(UnboundedReceiver<News>) -> F,
+    test: impl FnOnce(UnboundedReceiver<DiscoveryUpdate>) -> F,
 ) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     tokio::task::LocalSet::new().block_on(&runtime, async move {
         let (news, heard) = unbounded_channel();
-        tokio::task::spawn_local(follow(Live::new(address), 3, 1, news, Ledger::unlimited()));
+        tokio::task::spawn_local(follow(Reloadable::new(address), 3, 1, news, Ledger::unlimited()));
         tokio::time::timeout(Duration::from_secs(30), test(heard))
             .await
             .expect("what the test waits for comes")
@@ -71,7 +71,7 @@
                     let mut last = [0; 8];
                     if tokio::io::AsyncReadExt::read_exact(&mut stream, &mut last).await.is_ok() {
                         stream.write_all(&purge(4)).await.unwrap();
-                        assert!(matches!(heard.recv().await, Some(News::Purge { .. })));
+                        assert!(matches!(heard.recv().await, Some(DiscoveryUpdate::Purge { .. })));
                         return back.elapsed().as_secs_f64();
                     }
                 }
@@ -103,7 +103,7 @@
         let (mut fourth, _) = listener.accept().await.unwrap();
         assert_eq!(asks(&mut fourth).await, 3);
         fourth.write_all(&purge(4)).await.unwrap();
-        assert!(matches!(heard.recv().await, Some(News::Purge { .. })));
+        assert!(matches!(heard.recv().await, Some(DiscoveryUpdate::Purge { .. })));
         assert!(began.elapsed() < Duration::from_secs(7), "{:?}", began.elapsed());
         // The silent ones are left: what comes on them late is nobody's.
         for mut stream in silent {
--- a/src/net/exchange.rs
+++ b/src/net/exchange.rs
@@ -7,7 +7,7 @@
 mod receive;
 mod send;
 
-use crate::broker::{Order, Report, Ticket};
+use crate::broker::{AttemptId, Order, Report};
 use crate::interface::{Note, Outcome};
 use crate::memory::Ledger;
 use cancellation::{CancelQueue, CancelledAttempt};
@@ -112,7 +112,7 @@
         !self.silent
             && !self.incoming.is_unowned()
             && self.in_flight.accepts(call)
-            && self.waiting.iter().all(|order| &*order.ask.call != call)
+            && self.waiting.iter().all(|order| &*order.request.call != call)
     }
 
     /// Is the connection of no more use once nothing is under way?
@@ -128,16 +128,16 @@
     /// Cancels an attempt. An order that still waits was never sent, and that is its end; one in flight ends once its
     /// cancel is sent ([`Exchange::written`]). Guards against two attempts in flight for one request where the socket
     /// takes nothing more, or the system sends nothing more of it.
-    pub fn cancel(&mut self, now: f64, ticket: Ticket) -> Option<Report> {
-        if let Some(at) = self.waiting.iter().position(|order| order.ticket == ticket) {
+    pub fn cancel(&mut self, now: f64, attempt_id: AttemptId) -> Option<Report> {
+        if let Some(at) = self.waiting.iter().position(|order| order.attempt_id == attempt_id) {
             self.waiting.remove(at);
-            return Some(ended_without_answer(ticket, Outcome::NotSent));
+            return Some(ended_without_answer(attempt_id, Outcome::NotSent));
         }
-        let (call, request) = self.in_flight.withdraw(ticket)?;
+        let (call, request) = self.in_flight.withdraw(attempt_id)?;
         // Guards against a machine that has vanished: its connections stay open and say nothing, and the
         // next request must not go to one of them.
         self.silent |= now - self.last_read.max(request.written_at) > SILENCE_TIMEOUT_SECONDS;
-        self.cancels.push(call, CancelledAttempt { ticket, since: now });
+        self.cancels.push(call, CancelledAttempt { attempt_id, since: now });
         None
     }
 
@@ -161,19 +161,19 @@
     pub fn close(&mut self, by: EndedBy, written: u64, mut report: impl FnMut(Report)) -> VecDeque<Order> {
         let propagation = self.propagation;
         // A connection's end gives up all that was in flight on it, as soon as both sides know.
-        let mut end = |ticket, outcome| match by {
-            EndedBy::Node => report(ended_without_answer(ticket, outcome)),
-            EndedBy::Front => report(Report::Abandoned { ticket, outcome, propagation }),
+        let mut end = |attempt_id, outcome| match by {
+            EndedBy::Node => report(ended_without_answer(attempt_id, outcome)),
+            EndedBy::Front => report(Report::Abandoned { attempt_id, outcome, propagation }),
         };
         for attempt in self.cancels.drain() {
-            end(attempt.ticket, Outcome::Cancelled);
+            end(attempt.attempt_id, Outcome::Cancelled);
         }
-        for ticket in self.in_flight.drain() {
-            end(ticket, Outcome::Reset);
+        for attempt_id in self.in_flight.drain() {
+            end(attempt_id, Outcome::Reset);
         }
         match self.writing.take() {
             Some(partial) if written <= partial.start => self.waiting.push_front(partial.order),
-            Some(partial) => end(partial.order.ticket, Outcome::Reset),
+            Some(partial) => end(partial.order.attempt_id, Outcome::Reset),
             None => {}
         }
         self.hand_back()
@@ -181,6 +181,6 @@
 }
 
 /// An end without an answer.
-pub fn ended_without_answer(ticket: Ticket, outcome: Outcome) -> Report {
-    Report::Ended { ticket, outcome, note: Note::None, source_wait: 0.0, content: None }
+pub fn ended_without_answer(attempt_id: AttemptId, outcome: Outcome) -> Report {
+    Report::AttemptEnded { attempt_id, outcome, note: Note::None, source_wait: 0.0, content: None }
 }
--- a/src/net/exchange/cancellation.rs
+++ b/src/net/exchange/cancellation.rs
@@ -1,13 +1,13 @@
 //! Attempts that are cancelled: in flight until their cancel is sent.
 
-use crate::broker::Ticket;
+use crate::broker::AttemptId;
 use crate::net::{Buffer, lines};
 use std::collections::VecDeque;
 
 /// An attempt that was cancelled, and when.
 #[derive(Clone, Copy)]
 pub(super) struct CancelledAttempt {
-    pub(super) ticket: Ticket,
+    pub(super) attempt_id: AttemptId,
     pub(super) since: f64,
 }
 
@@ -69,7 +69,7 @@
     pub(super) fn encode(&mut self, mut position: u64, out: &mut Buffer) -> u64 {
         while let Some(cancel) = self.queued.pop_front() {
             let length_before = out.len();
-            if !lines::cancel(out, &cancel.call) {
+            if !lines::write_cancel(out, &cancel.call) {
                 self.queued.push_front(cancel);
                 break;
             }
--- a/src/net/exchange/in_flight.rs
+++ b/src/net/exchange/in_flight.rs
@@ -1,6 +1,6 @@
 //! The requests in flight on a connection, and the names that a late answer may still carry.
 
-use crate::broker::{Order, Ticket};
+use crate::broker::{AttemptId, Order};
 use crate::memory::{AccountOwner, Purpose};
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::cell::Cell;
@@ -14,7 +14,7 @@
 
 /// A request that was written and is to be answered.
 pub(super) struct InFlightRequest {
-    pub(super) ticket: Ticket,
+    pub(super) attempt_id: AttemptId,
     /// When its first byte was written (Unix seconds).
     pub(super) written_at: f64,
     /// A copy made before is too old (Unix seconds).
@@ -32,19 +32,19 @@
 impl InFlightRequest {
     fn new(order: &Order, written_at: f64) -> Self {
         InFlightRequest {
-            ticket: order.ticket,
+            attempt_id: order.attempt_id,
             written_at,
-            oldest: order.oldest,
+            oldest: order.min_created_at,
             uncacheable: order.uncacheable,
-            client_has_copy: order.ask.have.is_some(),
-            team: order.ask.team,
-            client_unread: order.ask.reader.clone(),
+            client_has_copy: order.request.client_etag.is_some(),
+            team: order.request.team,
+            client_unread: order.request.unread_bytes.clone(),
         }
     }
 
     /// The account that holds memory for its answer.
     pub(super) fn account(&self, purpose: Purpose) -> AccountOwner {
-        AccountOwner { purpose, team: self.team, precious: self.uncacheable }
+        AccountOwner { purpose, team: self.team, may_use_reserve: self.uncacheable }
     }
 }
 
@@ -82,7 +82,7 @@
 
     /// The first byte of this order was written.
     pub(super) fn insert(&mut self, order: &Order, now: f64) {
-        self.requests.insert(order.ask.call.clone(), InFlightRequest::new(order, now));
+        self.requests.insert(order.request.call.clone(), InFlightRequest::new(order, now));
     }
 
     /// Takes out what is answered; a second copy of the answer may follow under its name.
@@ -96,8 +96,8 @@
     }
 
     /// Takes out what is cancelled; its answer may still come.
-    pub(super) fn withdraw(&mut self, ticket: Ticket) -> Option<(Box<str>, InFlightRequest)> {
-        let (call, _) = self.requests.iter().find(|(_, request)| request.ticket == ticket)?;
+    pub(super) fn withdraw(&mut self, attempt_id: AttemptId) -> Option<(Box<str>, InFlightRequest)> {
+        let (call, _) = self.requests.iter().find(|(_, request)| request.attempt_id == attempt_id)?;
         let call = call.clone();
         let request = self.requests.remove(&call)?;
         self.withdrawn.insert(call.clone());
@@ -105,7 +105,7 @@
     }
 
     /// Takes out all that is in flight.
-    pub(super) fn drain(&mut self) -> impl Iterator<Item = Ticket> {
-        self.requests.drain().map(|(_, request)| request.ticket)
+    pub(super) fn drain(&mut self) -> impl Iterator<Item = AttemptId> {
+        self.requests.drain().map(|(_, request)| request.attempt_id)
     }
 }
--- a/src/net/exchange/incoming.rs
+++ b/src/net/exchange/incoming.rs
@@ -3,7 +3,7 @@
 use super::Progress;
 use super::in_flight::InFlightRequest;
 use crate::memory::{Grant, Ledger, Purpose};
-use crate::net::{Buffer, Unreadable, lines};
+use crate::net::{Buffer, ProtocolError, lines};
 use std::cell::Cell;
 use std::rc::Rc;
 
@@ -26,7 +26,7 @@
 }
 
 impl AnswerLayout {
-    pub(super) fn of(head: &lines::Head<'_>) -> Self {
+    pub(super) fn of(head: &lines::AnswerHead<'_>) -> Self {
         AnswerLayout { line: head.line, length: head.length, total: head.total() }
     }
 
@@ -41,10 +41,10 @@
     }
 
     /// Is all of it here, with its end where it should be?
-    pub(super) fn is_whole(&self, bytes: &[u8]) -> Result<bool, Unreadable> {
+    pub(super) fn is_whole(&self, bytes: &[u8]) -> Result<bool, ProtocolError> {
         let Some(answer) = bytes.get(..self.total) else { return Ok(false) };
         if self.length.is_some() && !answer.ends_with(TERMINATOR) {
-            return Err(Unreadable("bytes that do not end where they should"));
+            return Err(ProtocolError("bytes that do not end where they should"));
         }
         Ok(true)
     }
@@ -101,7 +101,7 @@
             return Admission::SlowClient;
         }
         let content = layout.line + layout.length.unwrap_or(0);
-        let Ok(grant) = self.memory.ask(request.account(Purpose::Unread), content) else {
+        let Ok(grant) = self.memory.acquire(request.account(Purpose::Unread), content) else {
             return Admission::NoMemory;
         };
         self.grant = Some(match request.client_unread.clone() {
@@ -118,7 +118,7 @@
         layout: AnswerLayout,
         buffer: &mut Buffer,
     ) -> Progress {
-        buffer.set_room(|| self.memory.empty(request.account(Purpose::Partial)));
+        buffer.set_grant(|| self.memory.empty_grant(request.account(Purpose::Partial)));
         if buffer.reserve(layout.total - buffer.len()).is_err() {
             self.grant = None;
             return Progress::NeedsMemory;
@@ -142,15 +142,15 @@
     }
 
     /// Takes the end of line behind discarded bytes; is nothing left to discard?
-    pub(super) fn finish_discarding(&mut self, buffer: &mut Buffer) -> Result<bool, Unreadable> {
+    pub(super) fn finish_discarding(&mut self, buffer: &mut Buffer) -> Result<bool, ProtocolError> {
         if !self.discarding {
             return Ok(true);
         }
-        if buffer.skipping() > 0 || buffer.len() < TERMINATOR.len() {
+        if buffer.bytes_to_skip() > 0 || buffer.len() < TERMINATOR.len() {
             return Ok(false);
         }
         if !buffer.bytes().starts_with(TERMINATOR) {
-            return Err(Unreadable("bytes that do not end where they should"));
+            return Err(ProtocolError("bytes that do not end where they should"));
         }
         buffer.consume(TERMINATOR.len());
         self.discarding = false;
--- a/src/net/exchange/receive.rs
+++ b/src/net/exchange/receive.rs
@@ -3,10 +3,10 @@
 use super::in_flight::InFlightRequest;
 use super::incoming::{Admission, AnswerLayout};
 use super::{Exchange, Progress};
-use crate::broker::{Content, Report, Ticket};
+use crate::broker::{AttemptId, Content, Report};
 use crate::interface::Outcome;
 use crate::memory::Grant;
-use crate::net::{Buffer, Unreadable, lines};
+use crate::net::{Buffer, ProtocolError, lines};
 use std::ops::ControlFlow;
 
 /// A copy made so much later than now is none; clocks of a site differ by less.
@@ -15,7 +15,7 @@
 const CLOCK_SKEW_SECONDS: f64 = 0.05;
 
 /// Whether reading goes on behind an answer, or what it needs first.
-type Decoded = Result<ControlFlow<Progress>, Unreadable>;
+type Decoded = Result<ControlFlow<Progress>, ProtocolError>;
 
 impl Exchange {
     /// Takes whole answers off the head of the buffer. Only a whole one becomes `Ok`, and only what somebody
@@ -25,7 +25,7 @@
         now: f64,
         buffer: &mut Buffer,
         mut report: impl FnMut(Report),
-    ) -> Result<Progress, Unreadable> {
+    ) -> Result<Progress, ProtocolError> {
         self.last_read = now;
         self.silent = false;
         loop {
@@ -40,7 +40,7 @@
         if !self.incoming.finish_discarding(buffer)? {
             return Ok(ControlFlow::Break(Progress::NeedsBytes));
         }
-        let Some(head) = lines::head(buffer.bytes())? else {
+        let Some(head) = lines::parse_head(buffer.bytes())? else {
             return Ok(ControlFlow::Break(Progress::NeedsBytes));
         };
         let layout = AnswerLayout::of(&head);
@@ -73,7 +73,8 @@
         let is_served = outcome == Outcome::Ok;
         let content = is_served.then(|| content_of(&head.answer, layout.body(buffer.bytes()), grant));
         let (note, source_wait) = (head.answer.note, head.answer.source_wait);
-        let ended = Report::Ended { ticket: request.ticket, outcome, note, source_wait, content };
+        let ended =
+            Report::AttemptEnded { attempt_id: request.attempt_id, outcome, note, source_wait, content };
         self.in_flight.take_answered(head.answer.id);
         match buffered {
             true => buffer.consume(layout.total),
@@ -84,17 +85,17 @@
     }
 
     /// The attempt whose answer is at the head of the buffer, if anybody waits for it.
-    pub fn ticket_at_head(&self, buffer: &Buffer) -> Option<Ticket> {
-        let head = lines::head(buffer.bytes()).ok().flatten()?;
-        self.in_flight.get(head.answer.id).map(|request| request.ticket)
+    pub fn ticket_at_head(&self, buffer: &Buffer) -> Option<AttemptId> {
+        let head = lines::parse_head(buffer.bytes()).ok().flatten()?;
+        self.in_flight.get(head.answer.id).map(|request| request.attempt_id)
     }
 
     /// There was no memory for the answer at the head of the buffer, for too long: it is discarded, and its
     /// request hears that at once. What else is in flight, and is still to come behind it, is not touched.
     pub fn discard_answer(&mut self, buffer: &mut Buffer, report: &mut impl FnMut(Report)) {
-        let Ok(Some(head)) = lines::head(buffer.bytes()) else { return };
+        let Ok(Some(head)) = lines::parse_head(buffer.bytes()) else { return };
         if let Some(request) = self.in_flight.take_answered(head.answer.id) {
-            report(Report::NoMemory(request.ticket));
+            report(Report::NoMemory(request.attempt_id));
         }
         let layout = AnswerLayout::of(&head);
         self.incoming.discard(buffer, layout);
@@ -109,23 +110,23 @@
 
 /// How an answer ends its request; an error where it says less, or other, than it must.
 fn checked_outcome(
-    answer: &lines::Answer<'_>,
+    answer: &lines::NodeAnswer<'_>,
     request: &InFlightRequest,
     now: f64,
-) -> Result<Outcome, Unreadable> {
-    let outcome = answer.outcome.ok_or(Unreadable("an answer with an unknown word"))?;
+) -> Result<Outcome, ProtocolError> {
+    let outcome = answer.outcome.ok_or(ProtocolError("an answer with an unknown word"))?;
     if answer.valid && !request.client_has_copy {
-        return Err(Unreadable("a valid copy that nobody asked for"));
+        return Err(ProtocolError("a valid copy that nobody asked for"));
     }
     // A copy that cannot be told from others, or whose age is untold, is a spoilt one.
     let is_identified = !answer.etag.is_empty() && answer.made.is_some();
     let must_be_identified = answer.valid || !request.uncacheable;
     if outcome == Outcome::Ok && must_be_identified && !is_identified {
-        return Err(Unreadable("a copy without its tag or time"));
+        return Err(ProtocolError("a copy without its tag or time"));
     }
     let made = answer.made.map(|milliseconds| milliseconds as f64 / 1000.0);
     if made.is_some_and(|made| made > now + MAX_FUTURE_SECONDS) {
-        return Err(Unreadable("a copy from the future"));
+        return Err(ProtocolError("a copy from the future"));
     }
     // What the node should not have served is not served on.
     let too_old = made.is_some_and(|made| made < request.oldest - CLOCK_SKEW_SECONDS);
@@ -133,6 +134,6 @@
 }
 
 /// The content of an answer, held by this grant.
-fn content_of(answer: &lines::Answer<'_>, body: &[u8], grant: Grant) -> Content {
-    Content { body: body.to_vec(), etag: answer.etag.into(), current: answer.valid, grant }
+fn content_of(answer: &lines::NodeAnswer<'_>, body: &[u8], grant: Grant) -> Content {
+    Content { body: body.to_vec(), etag: answer.etag.into(), not_modified: answer.valid, grant }
 }
--- a/src/net/exchange/send.rs
+++ b/src/net/exchange/send.rs
@@ -28,7 +28,7 @@
         {
             let patience_ms = ((order.due - now) * 1000.0) as u64;
             if patience_ms == 0 || !order.may_be_sent(now) {
-                report(ended_without_answer(order.ticket, Outcome::NotSent));
+                report(ended_without_answer(order.attempt_id, Outcome::NotSent));
                 continue;
             }
             if !self.encode_order(&order, patience_ms, out) {
@@ -41,10 +41,13 @@
 
     /// Encodes an order, if there is memory for it.
     fn encode_order(&self, order: &Order, patience_ms: u64, out: &mut Buffer) -> bool {
-        let account =
-            AccountOwner { purpose: Purpose::Bodies, team: order.ask.team, precious: order.uncacheable };
-        out.set_room(|| self.memory.empty(account));
-        lines::serve(out, order, patience_ms)
+        let account = AccountOwner {
+            purpose: Purpose::Bodies,
+            team: order.request.team,
+            may_use_reserve: order.uncacheable,
+        };
+        out.set_grant(|| self.memory.empty_grant(account));
+        lines::write_serve(out, order, patience_ms)
     }
 
     /// The socket has taken what it would. The order whose first byte is among that is in flight, and one of which it took
@@ -68,7 +71,7 @@
         let mut any = false;
         while let Some(attempt) = self.cancels.pop_sent(sent) {
             let (outcome, propagation) = (Outcome::Cancelled, self.propagation);
-            report(Report::Abandoned { ticket: attempt.ticket, outcome, propagation });
+            report(Report::Abandoned { attempt_id: attempt.attempt_id, outcome, propagation });
             any = true;
         }
         any
@@ -79,7 +82,7 @@
         self.write_blocked = false;
         let Some(PartialOrder { order, start }) = self.writing.take() else { return false };
         if out.taken() > start {
-            report(Report::Written(order.ticket));
+            report(Report::WriteStarted(order.attempt_id));
             self.in_flight.insert(&order, now);
             return true;
         }
--- a/src/net/lines.rs
+++ b/src/net/lines.rs
@@ -1,7 +1,7 @@
 //! The line protocol of cache nodes: words ending in CR LF, and after a length so many bytes more. Parsing
 //! and writing only.
 
-use super::{Buffer, Unreadable};
+use super::{Buffer, ProtocolError};
 use crate::broker::Order;
 use crate::interface::{Note, Outcome};
 
@@ -12,7 +12,7 @@
 
 /// A cache node's answer.
 #[derive(Debug, PartialEq)]
-pub struct Answer<'a> {
+pub struct NodeAnswer<'a> {
     /// The id of the request, as it was sent.
     pub id: &'a str,
     /// How it ended; `None` for a word that is unknown here.
@@ -34,9 +34,9 @@
 /// Writes `serve` for an order, of which the node may take until `patience_ms` from now; nothing at all if there is
 /// no memory for it.
 #[must_use]
-pub fn serve(out: &mut Buffer, order: &Order, patience_ms: u64) -> bool {
+pub fn write_serve(out: &mut Buffer, order: &Order, patience_ms: u64) -> bool {
     use std::fmt::Write;
-    let ask = &order.ask;
+    let ask = &order.request;
     let mut line = String::with_capacity(160);
     let _ = write!(line, "serve {} sort={},asset={},slice={}", ask.call, order.class, ask.asset, ask.part);
     let _ = write!(line, ",patience={patience_ms}");
@@ -54,14 +54,18 @@
         let _ = write!(line, ",maxage={}", ((order.age * 1000.0) as u64).max(1));
     }
     let o = order.options;
-    let flags =
-        [(o.join, "merge"), (o.only_if_cached, "local"), (o.no_parent_copy, "skip"), (o.revalidate, "revalidate")];
+    let flags = [
+        (o.join, "merge"),
+        (o.only_if_cached, "local"),
+        (o.no_parent_copy, "skip"),
+        (o.revalidate, "revalidate"),
+    ];
     let mut mark = ",flags=";
     for (_, word) in flags.iter().filter(|f| f.0) {
         let _ = write!(line, "{mark}{word}");
         mark = "+";
     }
-    if let Some(have) = &ask.have {
+    if let Some(have) = &ask.client_etag {
         let _ = write!(line, ",have={have}");
     }
     let _ = write!(line, " {}\r\n", ask.body.len());
@@ -71,22 +75,22 @@
 
 /// Writes `cancel`; not if there is no memory for it.
 #[must_use]
-pub fn cancel(out: &mut Buffer, id: &str) -> bool {
+pub fn write_cancel(out: &mut Buffer, id: &str) -> bool {
     out.push(format!("cancel {id}\r\n").as_bytes())
 }
 
 /// An answer's line: all that it says before its bytes come.
 #[derive(Debug, PartialEq)]
-pub struct Head<'a> {
+pub struct AnswerHead<'a> {
     /// The answer, without bytes.
-    pub answer: Answer<'a>,
+    pub answer: NodeAnswer<'a>,
     /// Bytes of the line.
     pub line: usize,
     /// Bytes that follow, without the end of line behind them; `None` where nothing follows.
     pub length: Option<usize>,
 }
 
-impl Head<'_> {
+impl AnswerHead<'_> {
     /// How long the whole answer is.
     pub fn total(&self) -> usize {
         self.line + self.length.map_or(0, |length| length + 2)
@@ -95,26 +99,26 @@
 
 /// Reads the line of an answer off the head of `bytes`; `None` while it is not whole. What is wrong with an
 /// answer is told from its line, so that none of its bytes needs to be held.
-pub fn head(bytes: &[u8]) -> Result<Option<Head<'_>>, Unreadable> {
+pub fn parse_head(bytes: &[u8]) -> Result<Option<AnswerHead<'_>>, ProtocolError> {
     let Some(end) = bytes.iter().take(LINE).position(|&b| b == b'\n') else {
-        return if bytes.len() >= LINE { Err(Unreadable("an overlong line")) } else { Ok(None) };
+        return if bytes.len() >= LINE { Err(ProtocolError("an overlong line")) } else { Ok(None) };
     };
-    let line = bytes[..end].strip_suffix(b"\r").ok_or(Unreadable("a line without CR"))?;
-    let line = std::str::from_utf8(line).map_err(|_| Unreadable("a line that is no text"))?;
+    let line = bytes[..end].strip_suffix(b"\r").ok_or(ProtocolError("a line without CR"))?;
+    let line = std::str::from_utf8(line).map_err(|_| ProtocolError("a line that is no text"))?;
     let mut words = line.split(' ');
     let (Some(id), Some(word)) = (words.next(), words.next()) else {
-        return Err(Unreadable("a line without a word"));
+        return Err(ProtocolError("a line without a word"));
     };
     let fields = words.next().unwrap_or("-");
     let length = words.next();
     if words.next().is_some() {
-        return Err(Unreadable("a line with too many words"));
+        return Err(ProtocolError("a line with too many words"));
     }
     let length = match length {
         None => None,
         Some(digits) => {
-            let length = super::number(digits.as_bytes()).filter(|&n| n <= LARGEST as u64);
-            Some(length.ok_or(Unreadable("a length that is none, or too large"))? as usize)
+            let length = super::parse_u64(digits.as_bytes()).filter(|&n| n <= LARGEST as u64);
+            Some(length.ok_or(ProtocolError("a length that is none, or too large"))? as usize)
         }
     };
     let outcome = match word {
@@ -127,30 +131,33 @@
     };
     let valid = word == "VALID";
     let (note, source_wait, etag, made) = (Note::None, 0.0, "", None);
-    let mut answer = Answer { id, outcome, valid, note, source_wait, etag, made, body: &[] };
+    let mut answer = NodeAnswer { id, outcome, valid, note, source_wait, etag, made, body: &[] };
     for (name, value) in fields.split(',').filter_map(|f| f.split_once('=')) {
         match name {
             "n" => answer.note = note_of(value),
-            "ttfb" => answer.source_wait = super::amount(value.as_bytes()).unwrap_or(0.0) / 1000.0,
+            "ttfb" => {
+                answer.source_wait = super::parse_non_negative(value.as_bytes()).unwrap_or(0.0) / 1000.0
+            }
             "etag" => answer.etag = value,
-            "made" => answer.made = super::number(value.as_bytes()),
+            "made" => answer.made = super::parse_u64(value.as_bytes()),
             _ => {}
         }
     }
     // Guards against a spoilt answer that would pass for served.
     match word {
-        "HIT" if length.is_none() => Err(Unreadable("a hit without its length")),
-        "VALID" if length.unwrap_or(0) > 0 => Err(Unreadable("a valid copy with bytes")),
-        _ => Ok(Some(Head { answer, line: end + 1, length })),
+        "HIT" if length.is_none() => Err(ProtocolError("a hit without its length")),
+        "VALID" if length.unwrap_or(0) > 0 => Err(ProtocolError("a valid copy with bytes")),
+        _ => Ok(Some(AnswerHead { answer, line: end + 1, length })),
     }
 }
 
 /// Reads one answer off the head of `bytes`, and how long it was; `None` while it is not whole.
-pub fn parse(bytes: &[u8]) -> Result<Option<(Answer<'_>, usize)>, Unreadable> {
-    let Some(Head { mut answer, line, length }) = head(bytes)? else { return Ok(None) };
+pub fn parse(bytes: &[u8]) -> Result<Option<(NodeAnswer<'_>, usize)>, ProtocolError> {
+    let Some(AnswerHead { mut answer, line, length }) = parse_head(bytes)? else { return Ok(None) };
     let Some(length) = length else { return Ok(Some((answer, line))) };
     let Some(rest) = bytes.get(line..line + length + 2) else { return Ok(None) };
-    answer.body = rest.strip_suffix(b"\r\n").ok_or(Unreadable("bytes that do not end where they should"))?;
+    answer.body =
+        rest.strip_suffix(b"\r\n").ok_or(ProtocolError("bytes that do not end where they should"))?;
     Ok(Some((answer, line + length + 2)))
 }
 
--- a/src/net/listener.rs
+++ b/src/net/listener.rs
@@ -4,7 +4,7 @@
 use super::connection_memory::{ConnectionMemory, MEMORY_RETRY_INTERVAL, RELIEF_INTERVAL};
 use super::connections::{ConnectionSlot, ConnectionTable};
 use crate::memory::{Grant, Ledger};
-use crate::turns::{TaskKind, measured};
+use crate::turns::{TaskKind, track_polls};
 use crate::{clock, log};
 use std::cell::Cell;
 use std::future::pending;
@@ -183,7 +183,7 @@
     // Once the front takes no more clients: when the listener is closed.
     let mut closing_at = None;
     loop {
-        let scarce = memory.closes(table.open()) > 0;
+        let scarce = memory.idle_connections_to_close(table.open()) > 0;
         let held = acceptor.holds_newcomers();
         let accepted = tokio::select! {
             biased;
@@ -215,12 +215,12 @@
             () = sleep_until(clock::instant(relief_at)), if scarce => {
                 let now = clock::now();
                 relief_at = now + RELIEF_INTERVAL;
-                for _ in 0..memory.closes(table.idle()) {
+                for _ in 0..memory.idle_connections_to_close(table.idle()) {
                     table.close_idle_since_grace(now);
                 }
                 continue;
             }
-            () = memory.became_scarce(), if !scarce => continue,
+            () = memory.wait_until_scarce(), if !scarce => continue,
             () = sleep_until(clock::instant(clock::now() + MEMORY_RETRY_INTERVAL)), if held => continue,
             accepted = next(&listener), if !held && !table.is_closing_all() => accepted,
         };
@@ -280,17 +280,17 @@
         let socket = Rc::new(ClientSocket::new(stream));
         let slot = ConnectionSlot::new(self.table.clone(), socket.clone(), clock::now());
         let (ledger, memory, serve) = (self.ledger.clone(), self.memory.clone(), self.serve.clone());
-        spawn_local(measured(TaskKind::Client, async move {
+        spawn_local(track_polls(TaskKind::Client, async move {
             let Some(grant) = memory.grant(&socket, &slot).await else {
                 return log!("client {peer} is turned away: no memory for another connection");
             };
-            ledger.clients(1);
+            ledger.adjust_client_count(1);
             if let Err(e) = serve(socket, slot, grant).await
                 && !matches!(e.kind(), io::ErrorKind::ConnectionReset | io::ErrorKind::BrokenPipe)
             {
                 log!("client {peer}: {e}");
             }
-            ledger.clients(-1);
+            ledger.adjust_client_count(-1);
         }));
     }
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -20,7 +20,7 @@
 mod send_queue;
 mod tcp_info;
 
-pub use buffer::{Buffer, Output, TEXT};
+pub use buffer::{Buffer, OUTPUT_TEXT_BYTES, Output};
 pub use client_socket::{ClientSocket, SendState};
 pub use closing::{PEER_CHECK_INTERVAL, linger, peer_has_closed, readable_within_window, shut_and_discard};
 pub use connections::{ConnectionSlot, LingerPermit};
@@ -32,22 +32,22 @@
 use tokio::sync::Notify;
 
 /// What is read of a client at once (bytes).
-pub const INPUT: usize = 4 * 1024;
+pub const READ_CHUNK_BYTES: usize = 4 * 1024;
 
 /// Why input cannot be read; the connection that it came on is closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Unreadable(pub &'static str);
+pub struct ProtocolError(pub &'static str);
 
 /// A value that a reload may change while a task goes by it.
-pub struct Live<T> {
+pub struct Reloadable<T> {
     value: Cell<T>,
     changed: Notify,
 }
 
-impl<T: Copy + PartialEq> Live<T> {
+impl<T: Copy + PartialEq> Reloadable<T> {
     /// Starts with this.
     pub fn new(value: T) -> Rc<Self> {
-        Rc::new(Live { value: Cell::new(value), changed: Notify::new() })
+        Rc::new(Reloadable { value: Cell::new(value), changed: Notify::new() })
     }
 
     /// What it is now.
@@ -71,7 +71,7 @@
 }
 
 /// Plain decimal digits.
-pub fn number(digits: &[u8]) -> Option<u64> {
+pub fn parse_u64(digits: &[u8]) -> Option<u64> {
     if digits.is_empty() || digits.len() > 19 {
         return None;
     }
@@ -79,7 +79,7 @@
 }
 
 /// A decimal number that is not negative, with or without a fraction.
-pub fn amount(text: &[u8]) -> Option<f64> {
+pub fn parse_non_negative(text: &[u8]) -> Option<f64> {
     let plain = text.len() <= 24 && text.iter().all(|b| b.is_ascii_digit() || *b == b'.');
     let value: f64 = std::str::from_utf8(text).ok().filter(|_| plain)?.parse().ok()?;
     value.is_finite().then_some(value)
--- a/src/net/model.rs
+++ b/src/net/model.rs
@@ -7,7 +7,7 @@
 mod parsers;
 mod session;
 
-use crate::broker::{ClientRequest, Order, Ticket};
+use crate::broker::{AttemptId, ClientRequest, Order};
 use crate::interface::{FillOptions, NodeId, RequestId};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -20,18 +20,23 @@
 }
 
 /// The first attempt of a request.
-fn ticket(request: u32) -> Ticket {
-    Ticket { request: RequestId(request), attempt: 0 }
+fn attempt_id(request: u32) -> AttemptId {
+    AttemptId { request: RequestId(request), attempt: 0 }
 }
 
 fn order(request: u32, call: u8, due: f64) -> Order {
     // Clients of even calls hold a copy.
     let have = call.is_multiple_of(2).then(|| "e0".into());
     let asset = "00000000000000aa".into();
-    let ask = ClientRequest { call: format!("{call:016x}").into(), asset, have, ..ClientRequest::default() };
+    let ask = ClientRequest {
+        call: format!("{call:016x}").into(),
+        asset,
+        client_etag: have,
+        ..ClientRequest::default()
+    };
     Order {
-        ticket: ticket(request),
-        ask: ask.into(),
+        attempt_id: attempt_id(request),
+        request: ask.into(),
         class: "media".into(),
         node: NodeId(1),
         source: Some(NodeId(2)),
@@ -39,10 +44,10 @@
         age: 0.25,
         options: FillOptions { revalidate: true, ..FillOptions::default() },
         due,
-        oldest: 995.0,
+        min_created_at: 995.0,
         uncacheable: call.is_multiple_of(3),
-        returned: 0,
-        called_off: Rc::default(),
+        requeues: 0,
+        cancelled: Rc::default(),
         begin_by: f64::INFINITY,
     }
 }
--- a/src/net/model/exchange.rs
+++ b/src/net/model/exchange.rs
@@ -1,6 +1,6 @@
 //! The exchange with a cache node against a plain model of its attempts.
 
-use super::{check, order, ticket};
+use super::{attempt_id, check, order};
 use crate::broker::Report;
 use crate::interface::Outcome;
 use crate::memory::Ledger;
@@ -179,14 +179,14 @@
     fn cancel(&mut self, which: u8) -> Result<(), TestCaseError> {
         let state = if which.is_multiple_of(2) { State::Waiting } else { State::InFlight };
         if let Some(id) = self.pick(which / 2, &state) {
-            self.reports.extend(self.exchange.cancel(self.now, ticket(id)));
+            self.reports.extend(self.exchange.cancel(self.now, attempt_id(id)));
             if state == State::Waiting {
                 self.expected.insert(id, Outcome::NotSent);
             } else {
                 self.set_state(id, State::Cancelled(None));
             }
         }
-        let again = self.exchange.cancel(self.now, ticket(self.last_request + 1));
+        let again = self.exchange.cancel(self.now, attempt_id(self.last_request + 1));
         prop_assert!(again.is_none(), "an attempt that is not here");
         Ok(())
     }
@@ -244,9 +244,9 @@
     /// Exactly this attempt is reported as written.
     fn check_written(&mut self, mut written: Option<u32>) -> Result<(), TestCaseError> {
         for report in &self.reports {
-            if let Report::Written(ticket) = report {
-                prop_assert_eq!(written.take(), Some(ticket.request.0));
-                let attempt = self.attempts.get_mut(&ticket.request.0).unwrap();
+            if let Report::WriteStarted(attempt_id) = report {
+                prop_assert_eq!(written.take(), Some(attempt_id.request.0));
+                let attempt = self.attempts.get_mut(&attempt_id.request.0).unwrap();
                 attempt.state = State::InFlight;
                 self.used.push(attempt.call);
             }
@@ -271,8 +271,8 @@
         self.receive(rest);
         self.expected.insert(id, answer.outcome);
         for report in &self.reports {
-            if let Report::Ended { content, .. } = report {
-                let whole = content.as_ref().map(|content| (content.body.as_slice(), content.current));
+            if let Report::AttemptEnded { content, .. } = report {
+                let whole = content.as_ref().map(|content| (content.body.as_slice(), content.not_modified));
                 let wanted =
                     (answer.outcome == Outcome::Ok).then_some((answer.body.as_bytes(), answer.valid));
                 prop_assert_eq!(whole, wanted);
@@ -303,10 +303,11 @@
         for report in std::mem::take(&mut self.reports) {
             // A cancel that is sent is reported as that: its node may not have read it yet.
             let cancels = matches!(report, Report::Abandoned { .. });
-            if let Report::Ended { ticket, outcome, .. } | Report::Abandoned { ticket, outcome, .. } = report
+            if let Report::AttemptEnded { attempt_id, outcome, .. }
+            | Report::Abandoned { attempt_id, outcome, .. } = report
             {
                 prop_assert_eq!(cancels, outcome == Outcome::Cancelled);
-                let id = ticket.request.0;
+                let id = attempt_id.request.0;
                 prop_assert_eq!(self.expected.remove(&id), Some(outcome), "{:?} of {:?}", id, &self.attempts);
                 let was = self.set_state(id, State::Ended);
                 prop_assert_ne!(was, State::Ended, "an attempt ends once");
@@ -326,18 +327,18 @@
         let sent = self.sent;
         self.exchange.written(self.now, &mut self.out, || sent, |_| cancelled += 1);
         self.exchange.encode(self.now, &mut self.out, |report| {
-            overdue += usize::from(matches!(report, Report::Ended { .. }));
+            overdue += usize::from(matches!(report, Report::AttemptEnded { .. }));
         });
         // Where this side ends it, the node hears of that later; where the node does, it knows.
         let by = if self.last_request.is_multiple_of(2) { EndedBy::Front } else { EndedBy::Node };
         let handed_back = self.exchange.close(by, self.out.taken(), |report| {
             assert_eq!(matches!(report, Report::Abandoned { .. }), by == EndedBy::Front);
             match report {
-                Report::Ended { outcome: Outcome::Reset, .. }
+                Report::AttemptEnded { outcome: Outcome::Reset, .. }
                 | Report::Abandoned { outcome: Outcome::Reset, .. } => {
                     reset += 1;
                 }
-                Report::Ended { outcome: Outcome::Cancelled, .. }
+                Report::AttemptEnded { outcome: Outcome::Cancelled, .. }
                 | Report::Abandoned { outcome: Outcome::Cancelled, .. } => cancelled += 1,
                 other => panic!("{other:?}"),
             }
@@ -386,7 +387,7 @@
     exchange.encode(1000.0, &mut out, |_| {});
     out.consume(usize::MAX);
     assert!(!exchange.written(1000.0, &mut out, || panic!("no cancel is under way"), |_| {}));
-    assert!(exchange.cancel(1002.0, ticket(1)).is_none());
+    assert!(exchange.cancel(1002.0, attempt_id(1)).is_none());
     assert!(exchange.oldest_cancel_since() == Some(1002.0), "it is out until its cancel is sent");
     exchange.encode(1002.0, &mut out, |_| {});
     let (written, mut ended) = (out.len(), 0);
--- a/src/net/model/memory.rs
+++ b/src/net/model/memory.rs
@@ -1,7 +1,7 @@
 //! What happens on either side where there is no memory.
 
 use super::session::{GOOD, frame, session};
-use super::{order, ticket};
+use super::{attempt_id, order};
 use crate::broker::{Input, Report};
 use crate::interface::Outcome;
 use crate::memory::{AccountOwner, Ledger, Limit, PURPOSES, Plan, Purpose};
@@ -22,7 +22,7 @@
 fn an_answer_without_memory_is_given_up_and_those_behind_it_are_read() {
     let memory = scarce(Purpose::Unread, 2000, 0);
     let (mut exchange, mut out) = (Exchange::new(memory.clone()), Buffer::default());
-    let mut input = Buffer::new(512, memory.empty(AccountOwner::of(Purpose::Partial)));
+    let mut input = Buffer::new(512, memory.empty_grant(AccountOwner::of(Purpose::Partial)));
     let used = |purpose| memory.accounts().used(purpose);
     for call in [1, 5, 7] {
         exchange.queue(order(call.into(), call, 1010.0));
@@ -46,7 +46,7 @@
     assert_eq!((used(Purpose::Unread), used(Purpose::Partial)), (0, 0));
     let mut reports = Vec::new();
     exchange.discard_answer(&mut input, &mut |r| reports.push(r));
-    assert_eq!(reports, [Report::NoMemory(ticket(1))]);
+    assert_eq!(reports, [Report::NoMemory(attempt_id(1))]);
     input.arrive(&large[100..]);
     input.arrive(&small[..60]);
     // One that fits has its memory before its bytes are here.
@@ -56,7 +56,7 @@
     reports.clear();
     assert_eq!(exchange.decode(1000.0, &mut input, |r| reports.push(r)), Ok(Progress::NeedsBytes));
     assert!(
-        matches!(&reports[..], [Report::Ended { outcome: Outcome::Ok, content: Some(c), .. }] if c.body.len() == 1500)
+        matches!(&reports[..], [Report::AttemptEnded { outcome: Outcome::Ok, content: Some(c), .. }] if c.body.len() == 1500)
     );
     assert_eq!(used(Purpose::Partial), 0, "given back with the buffer");
     // The one after it fits only once the client has read that.
@@ -66,7 +66,7 @@
     assert_eq!(used(Purpose::Unread), 0, "the client has it");
     assert_eq!(exchange.decode(1000.0, &mut input, |r| panic!("{r:?}")), Ok(Progress::NeedsBytes));
     // Withdrawn in the middle: its memory is back, and its bytes are nobody's.
-    exchange.cancel(1000.0, ticket(7));
+    exchange.cancel(1000.0, attempt_id(7));
     assert_eq!(exchange.decode(1000.0, &mut input, |r| panic!("{r:?}")), Ok(Progress::NeedsBytes));
     assert_eq!(memory.accounts().sum(), 0);
     // Said to have 3 GB: told from its line.
@@ -81,14 +81,14 @@
 fn a_body_without_memory_is_refused_and_passed_over() {
     let memory = scarce(Purpose::Bodies, 20_000, 12_000);
     let mut session = session(memory.clone());
-    let mut input = Buffer::new(4096, memory.empty(AccountOwner::of(Purpose::Bodies)));
+    let mut input = Buffer::new(4096, memory.empty_grant(AccountOwner::of(Purpose::Bodies)));
     let mut feed = |session: &mut Session, bytes: &[u8]| {
         assert!(input.push(bytes));
         let mut heard = Vec::new();
-        while let Some(one) = session.take(1000.0, &mut input).unwrap() {
+        while let Some(one) = session.process_frame(1000.0, &mut input).unwrap() {
             heard.extend(one);
         }
-        (heard, input.skipping())
+        (heard, input.bytes_to_skip())
     };
     let write = |tag: &str, class: &str, n: usize| {
         let fields = format!("{},dedupe=k", GOOD.replace("9b1f", &format!("{:0>4}", tag)));
@@ -104,18 +104,19 @@
     assert_eq!(memory.accounts().used(Purpose::Bodies), 0);
     session.output.consume(usize::MAX);
     // The same connection goes on behind it.
-    let mut input = Buffer::new(4096, memory.empty(AccountOwner::of(Purpose::Bodies)));
+    let mut input = Buffer::new(4096, memory.empty_grant(AccountOwner::of(Purpose::Bodies)));
     let hold = write("2", "holds", 5_000);
     assert!(input.push(&hold[..300]));
-    assert!(matches!(session.take(1000.0, &mut input), Ok(None)), "granted, and waited for");
+    assert!(matches!(session.process_frame(1000.0, &mut input), Ok(None)), "granted, and waited for");
     assert!(memory.accounts().used(Purpose::Bodies) > 0);
     assert!(input.push(&hold[300..]));
-    let Ok(Some(Some(Input::Ask { ask, .. }))) = session.take(1000.0, &mut input) else {
+    let Ok(Some(Some(Input::Request { request: ask, .. }))) = session.process_frame(1000.0, &mut input)
+    else {
         panic!("a hold has the reserve")
     };
     assert_eq!((ask.body.len(), memory.accounts().used(Purpose::Bodies)), (5_000, 5_000));
     drop(ask);
     assert_eq!((memory.accounts().used(Purpose::Bodies), memory.accounts().used(Purpose::Waiting)), (0, 0));
-    let refused = memory.accounts().sight(Purpose::Bodies).refused;
+    let refused = memory.accounts().snapshot(Purpose::Bodies).refused;
     assert!(refused >= 1, "{refused}");
 }
--- a/src/net/model/parsers.rs
+++ b/src/net/model/parsers.rs
@@ -1,7 +1,7 @@
 //! The parsers and the byte forms of the three protocols.
 
 use super::{check, order};
-use crate::broker::{ClientRequest, News};
+use crate::broker::{ClientRequest, DiscoveryUpdate};
 use crate::interface::*;
 use crate::net::frames::{self, Frame};
 use crate::net::{Buffer, lines, resp};
@@ -13,18 +13,19 @@
 fn an_order_is_written_as_the_protocol_says() {
     let mut out = Buffer::default();
     let mut o = order(1, 7, 1001.2);
-    assert!(lines::serve(&mut out, &o, 1200));
+    assert!(lines::write_serve(&mut out, &o, 1200));
     let line = "serve 0000000000000007 sort=media,asset=00000000000000aa,slice=0,patience=1200,\
         src=s-00000002,keep=1,maxage=250,flags=revalidate 0\r\n\r\n";
-    assert_eq!(o.ask.have, None, "an odd call");
+    assert_eq!(o.request.client_etag, None, "an odd call");
     assert_eq!(std::str::from_utf8(out.bytes()), Ok(line));
     out.consume(line.len());
     o.options = FillOptions { join: true, only_if_cached: true, ..FillOptions::default() };
     (o.source, o.rank, o.age, o.class) = (None, 0, 0.0, "holds".into());
     let (body, key, have) = (b"a\r\nb".to_vec(), Some("k1".into()), Some("e1".into()));
-    let (call, asset) = (o.ask.call.clone(), o.ask.asset.clone());
-    o.ask = ClientRequest { body, key, have, call, asset, ..ClientRequest::default() }.into();
-    assert!(lines::serve(&mut out, &o, 5));
+    let (call, asset) = (o.request.call.clone(), o.request.asset.clone());
+    o.request =
+        ClientRequest { body, key, client_etag: have, call, asset, ..ClientRequest::default() }.into();
+    assert!(lines::write_serve(&mut out, &o, 5));
     let line = "serve 0000000000000007 sort=holds,asset=00000000000000aa,slice=0,patience=5,op=k1,\
         flags=merge+local,have=e1 4\r\na\r\nb\r\n";
     assert_eq!(std::str::from_utf8(out.bytes()), Ok(line));
@@ -51,7 +52,7 @@
         ] {
             prop_assert!(used.is_none_or(|n| n > 0 && n <= bytes.len()));
         }
-        if let Some(p) = resp::pending(&bytes) {
+        if let Some(p) = resp::parse_partial_request(&bytes) {
             prop_assert!(p.total > bytes.len() && p.total > p.body);
         }
         Ok(())
@@ -60,13 +61,16 @@
     for cut in 0..whole.len() {
         assert_eq!(resp::parse(&whole[..cut]), Ok(None));
         // Announced as soon as the length of its body is read, and not before.
-        let announced = resp::Pending { tag: 7, class: b"media", body: 0, total: whole.len() };
-        assert_eq!(resp::pending(&whole[..cut]), None, "four words carry no body");
+        let announced = resp::PartialRequest { tag: 7, class: b"media", body: 0, total: whole.len() };
+        assert_eq!(resp::parse_partial_request(&whole[..cut]), None, "four words carry no body");
         let with_body = [&b"*5"[..], &whole[2..whole.len() - 6], b"$0\r\n\r\n$0\r\n\r\n"].concat();
         let cut = cut.min(with_body.len() - 1);
         let there = cut >= with_body.len() - 2;
         let total = with_body.len();
-        assert_eq!(resp::pending(&with_body[..cut]), there.then_some(resp::Pending { total, ..announced }));
+        assert_eq!(
+            resp::parse_partial_request(&with_body[..cut]),
+            there.then_some(resp::PartialRequest { total, ..announced })
+        );
     }
     assert_eq!(resp::parse(whole).unwrap().unwrap().1, whole.len());
     assert!(resp::parse(b"*4\r\n$3\r\nREQ\r\n$99999\r\n").is_err(), "an oversized word");
@@ -87,7 +91,7 @@
     bytes.extend(1_764_576_000_123u64.to_be_bytes());
     let (number, frame, used) = frames::parse(&bytes).unwrap().unwrap();
     assert_eq!((number, used), (9, bytes.len()));
-    let Frame::News(News::Roster { full: false, members }) = frame else { panic!("{frame:?}") };
+    let Frame::Event(DiscoveryUpdate::NodeList { full: false, members }) = frame else { panic!("{frame:?}") };
     let (n, address) = (members[0].node, members[0].address);
     assert_eq!(address, "10.1.0.9:4100".parse().unwrap());
     assert_eq!(
@@ -96,6 +100,6 @@
     );
     assert_eq!((n.weight, n.ready_at), (4.5, 1_764_576_000.123));
     let purge = [&[0, 0, 0, 19, 0, 0, 0, 0, 0, 0, 0, 10, 4, 0, 17][..], &1500u64.to_be_bytes()].concat();
-    let wanted = News::Purge { object: None, group: GroupId(17), at: 1.5 };
-    assert_eq!(frames::parse(&purge), Ok(Some((10, Frame::News(wanted), purge.len()))));
+    let wanted = DiscoveryUpdate::Purge { object: None, group: GroupId(17), at: 1.5 };
+    assert_eq!(frames::parse(&purge), Ok(Some((10, Frame::Event(wanted), purge.len()))));
 }
--- a/src/net/model/session.rs
+++ b/src/net/model/session.rs
@@ -6,7 +6,7 @@
 use crate::interface::*;
 use crate::memory::Ledger;
 use crate::net::Buffer;
-use crate::net::clients::{Front, Session};
+use crate::net::clients::{ClientContext, Session};
 use proptest::collection::vec;
 use proptest::prelude::*;
 use std::collections::BTreeSet;
@@ -15,17 +15,17 @@
 pub(super) fn session(memory: Ledger) -> Session {
     let class = |effect| Class { deadline: 5.0, effect, ..Class::default() };
     let classes = [class(Effect::Safe), Class { uncacheable: true, ..class(Effect::Keyed(Scope::All)) }];
-    let (asks, _) = tokio::sync::mpsc::channel(1);
-    let front = Front {
-        asks,
+    let (broker_inputs, _) = tokio::sync::mpsc::channel(1);
+    let front = ClientContext {
+        broker_inputs,
         classes: Classes::new(vec!["media".into(), "holds".into()], &classes).into(),
         contracts: Rc::default(),
         ready: Rc::default(),
-        connections: 1,
+        max_connections: 1,
         numbers: Rc::default(),
         memory,
-        wait: 0.5,
-        figures: crate::broker::Figures::new(vec!["media".into(), "holds".into()]),
+        pushback: 0.5,
+        metrics: crate::broker::Metrics::new(vec!["media".into(), "holds".into()]),
     };
     Session::new(front.into(), tokio::sync::mpsc::unbounded_channel().0)
 }
@@ -94,9 +94,12 @@
             };
             let (first, rest) = bytes.split_at(bytes.len() / 2);
             assert!(input.push(first));
-            prop_assert!(!matches!(session.take(now, &mut input), Ok(Some(_))), "half a frame is none");
+            prop_assert!(
+                !matches!(session.process_frame(now, &mut input), Ok(Some(_))),
+                "half a frame is none"
+            );
             assert!(input.push(rest));
-            let heard = match session.take(now, &mut input) {
+            let heard = match session.process_frame(now, &mut input) {
                 Ok(heard) => heard.flatten(),
                 Err(broken) => {
                     prop_assert!(kind < 3 && open.contains(&tag) || kind == 5 && which == 0);
@@ -108,7 +111,7 @@
                 }
             };
             match (kind, heard) {
-                (0 | 1, Some(Input::Ask { caller, ask, .. })) => {
+                (0 | 1, Some(Input::Request { caller, request: ask, .. })) => {
                     prop_assert!(caller.tag == tag && ask.deadline < now + 5.0 && open.insert(tag));
                 }
                 (2, None) => expect.push((tag, "fault".to_owned())),
@@ -133,7 +136,7 @@
     let (mut session, mut input) = (session(Ledger::unlimited()), Buffer::default());
     (0..1000).for_each(|_| assert!(input.push(&frame(&["DANCE", "7"]))));
     let mut heard = |now| {
-        while let Ok(Some(_)) = session.take(now, &mut input) {}
+        while let Ok(Some(_)) = session.process_frame(now, &mut input) {}
         answers(&mut session).len()
     };
     let first = heard(1000.0);
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -6,11 +6,11 @@
 mod node_connections;
 
 use super::exchange::ended_without_answer;
-use crate::broker::{Command, Member, Order, Report, Ticket};
+use crate::broker::{AttemptId, Command, Member, Order, Report};
 use crate::interface::{NodeId, NodeState, Outcome};
 use crate::memory::Ledger;
 use connection::{ConnectionContext, ConnectionHandle};
-pub use limits::Limits;
+pub use limits::PoolLimits;
 use node_connections::NodeConnections;
 use rustc_hash::FxHashMap;
 use std::collections::VecDeque;
@@ -23,7 +23,7 @@
 pub async fn run(
     mut commands: UnboundedReceiver<Command>,
     reports: UnboundedSender<Report>,
-    limits: Limits,
+    limits: PoolLimits,
     memory: Ledger,
 ) {
     let (returned, mut returned_orders) = unbounded_channel();
@@ -49,7 +49,7 @@
 struct Pool {
     nodes: FxHashMap<NodeId, NodeConnections>,
     /// The last cancels.
-    cancelled: VecDeque<Ticket>,
+    cancelled: VecDeque<AttemptId>,
     context: ConnectionContext,
 }
 
@@ -61,18 +61,18 @@
     fn handle(&mut self, command: Command) {
         match command {
             Command::Send(order) => self.send(order),
-            Command::Cancel { ticket, node } => self.cancel(ticket, node),
-            Command::Roster { full, members } => self.update_nodes(full, &members),
+            Command::Cancel { attempt_id, node } => self.cancel(attempt_id, node),
+            Command::NodeList { full, members } => self.update_nodes(full, &members),
         }
     }
 
-    fn cancel(&mut self, ticket: Ticket, node: NodeId) {
+    fn cancel(&mut self, attempt_id: AttemptId, node: NodeId) {
         if self.cancelled.len() >= REMEMBERED_CANCELS {
             self.cancelled.pop_front();
         }
-        self.cancelled.push_back(ticket);
+        self.cancelled.push_back(attempt_id);
         if let Some(connections) = self.nodes.get(&node) {
-            connections.cancel(ticket);
+            connections.cancel(attempt_id);
         }
     }
 
@@ -101,21 +101,21 @@
     /// Sends what a connection handed back. Guards against one whose cancel came while it was on its way here, and
     /// found it neither there nor on another connection.
     fn resend(&mut self, order: Order) {
-        match self.cancelled.contains(&order.ticket) {
-            true => self.context.report(ended_without_answer(order.ticket, Outcome::NotSent)),
+        match self.cancelled.contains(&order.attempt_id) {
+            true => self.context.report(ended_without_answer(order.attempt_id, Outcome::NotSent)),
             false => self.send(order),
         }
     }
 
     /// Hands an order to a connection, or reports why none takes it.
     fn send(&mut self, order: Order) {
-        let ticket = order.ticket;
+        let attempt_id = order.attempt_id;
         let failure = match self.connection_for(&order) {
             Ok(connection) => connection.write(order).err(),
             Err(outcome) => Some(outcome),
         };
         if let Some(outcome) = failure {
-            self.context.report(ended_without_answer(ticket, outcome));
+            self.context.report(ended_without_answer(attempt_id, outcome));
         }
     }
 
@@ -127,8 +127,8 @@
         let address = connections.address().ok_or(Outcome::NotSent)?;
         let limits = self.context.limits;
         connections.forget_closed();
-        let least_loaded = connections.least_loaded(&order.ask.call, limits.streams);
-        let may_open = connections.has_room() && total < limits.connections;
+        let least_loaded = connections.least_loaded(&order.request.call, limits.max_requests_per_connection);
+        let may_open = connections.has_room() && total < limits.max_connections;
         let crowded = least_loaded.is_none_or(|(_, load)| load >= limits.requests_per_connection());
         let overhead = (may_open && crowded).then(|| self.context.ask_overhead()).flatten();
         match (overhead, least_loaded) {
@@ -143,7 +143,7 @@
     fn total_with_room_for(&mut self, node: NodeId) -> usize {
         let total: usize = self.nodes.values_mut().map(NodeConnections::count_open).sum();
         let has_none = self.nodes.get(&node).is_some_and(NodeConnections::is_empty);
-        if total >= self.context.limits.connections && has_none && self.retire_idle(node) {
+        if total >= self.context.limits.max_connections && has_none && self.retire_idle(node) {
             return total - 1;
         }
         total
