--- a/src/net/pool/connection.rs
+++ b/src/net/pool/connection.rs
@@ -4,13 +4,13 @@
 mod node_socket;
 mod serve;
 
-use super::Limits;
-use crate::broker::{Order, Report, Ticket};
+use super::PoolLimits;
+use crate::broker::{AttemptId, Order, Report};
 use crate::interface::Outcome;
 use crate::memory::{AccountOwner, Grant, Ledger, Purpose};
 use crate::net::Buffer;
 use crate::net::exchange::{EndedBy, Exchange, ended_without_answer};
-use crate::turns::{TaskKind, measured};
+use crate::turns::{TaskKind, track_polls};
 use crate::{clock, log};
 use node_socket::NodeSocket;
 use std::cell::{Cell, RefCell};
@@ -33,7 +33,7 @@
 /// What every connection of a pool is given.
 #[derive(Clone)]
 pub(super) struct ConnectionContext {
-    pub(super) limits: Limits,
+    pub(super) limits: PoolLimits,
     /// To the broker.
     pub(super) reports: UnboundedSender<Report>,
     /// To the pool: orders that were not sent.
@@ -50,7 +50,7 @@
     /// Asks for the memory that a connection needs for itself.
     pub(super) fn ask_overhead(&self) -> Option<Grant> {
         let bytes = TASK_BYTES + INPUT_BYTES + OUTPUT_BYTES;
-        self.memory.ask(AccountOwner::of(Purpose::Caches), bytes).ok()
+        self.memory.acquire(AccountOwner::of(Purpose::Caches), bytes).ok()
     }
 
     /// Hands an order that was not sent back to the pool.
@@ -62,7 +62,7 @@
 /// To a connection's task.
 enum ConnectionCommand {
     Write(Order),
-    Cancel(Ticket),
+    Cancel(AttemptId),
     /// Its node has moved: finish what is under way, and end.
     Retire,
 }
@@ -98,8 +98,8 @@
     }
 
     /// Cancels an attempt, if it is here.
-    pub(super) fn cancel(&self, ticket: Ticket) {
-        let _ = self.commands.send(ConnectionCommand::Cancel(ticket));
+    pub(super) fn cancel(&self, attempt_id: AttemptId) {
+        let _ = self.commands.send(ConnectionCommand::Cancel(attempt_id));
     }
 
     /// Ends it once nothing is under way.
@@ -123,7 +123,7 @@
         _overhead: overhead,
         retired: false,
     };
-    tokio::task::spawn_local(measured(TaskKind::Cache, connection.run()));
+    tokio::task::spawn_local(track_polls(TaskKind::Cache, connection.run()));
     handle
 }
 
@@ -144,7 +144,7 @@
         let refused = connected.as_ref().is_err_and(|error| error.kind() != io::ErrorKind::ConnectionReset);
         // What a body needs beyond the connection's own is granted with the body's own account.
         let mut output =
-            Buffer::new(OUTPUT_BYTES, self.context.memory.empty(AccountOwner::of(Purpose::Bodies)));
+            Buffer::new(OUTPUT_BYTES, self.context.memory.empty_grant(AccountOwner::of(Purpose::Bodies)));
         let result = match connected {
             Ok(stream) => self.serve(NodeSocket::new(stream), &mut output).await,
             Err(error) => Err(error),
@@ -157,7 +157,7 @@
     /// Connects, by the site's deadline for that; orders that come meanwhile wait and can be taken back.
     async fn connect(&mut self) -> io::Result<TcpStream> {
         let began = clock::now();
-        let by = clock::instant(began + self.context.limits.connect_within);
+        let by = clock::instant(began + self.context.limits.connect_timeout);
         let connecting = timeout_at(by, TcpStream::connect(self.address));
         tokio::pin!(connecting);
         loop {
@@ -188,8 +188,8 @@
                 self.pending.set(self.pending.get().saturating_sub(1));
                 exchange.queue(order);
             }
-            ConnectionCommand::Cancel(ticket) => {
-                if let Some(report) = exchange.cancel(clock::now(), ticket) {
+            ConnectionCommand::Cancel(attempt_id) => {
+                if let Some(report) = exchange.cancel(clock::now(), attempt_id) {
                     self.context.report(report);
                 }
             }
@@ -209,10 +209,10 @@
             log!("cache node at {}: {error}", self.address);
         }
         for mut order in unsent {
-            if refused || order.returned >= MAX_RETURNS {
-                self.context.report(ended_without_answer(order.ticket, Outcome::ConnectFailed));
+            if refused || order.requeues >= MAX_RETURNS {
+                self.context.report(ended_without_answer(order.attempt_id, Outcome::ConnectFailed));
             } else {
-                order.returned += 1;
+                order.requeues += 1;
                 self.context.hand_back(order);
             }
         }
--- a/src/net/pool/connection/serve.rs
+++ b/src/net/pool/connection/serve.rs
@@ -92,15 +92,15 @@
     /// The loop: commands, writes, answers and timers, until the connection ends.
     async fn exchange_messages(&mut self, socket: &NodeSocket, output: &mut Buffer) -> io::Result<()> {
         let account = AccountOwner::of(Purpose::Partial);
-        let mut input = Buffer::new(INPUT_BYTES, self.context.memory.empty(account));
-        let mut idle_at = clock::now() + self.context.limits.idle;
+        let mut input = Buffer::new(INPUT_BYTES, self.context.memory.empty_grant(account));
+        let mut idle_at = clock::now() + self.context.limits.idle_timeout;
         let mut timers = AnswerTimers::default();
         loop {
             self.handle_queued();
             self.write_queued(socket, output)?;
             let is_idle = self.exchange.borrow().load() == 0;
             if !is_idle {
-                idle_at = clock::now() + self.context.limits.idle;
+                idle_at = clock::now() + self.context.limits.idle_timeout;
             } else if self.closes_when_idle() && output.is_empty() {
                 return Ok(());
             }
@@ -173,16 +173,16 @@
     /// Reports the answers that are here, and discards those that there was no memory for too long.
     fn decode(&self, input: &mut Buffer, timers: &mut AnswerTimers) -> io::Result<()> {
         let now = clock::now();
-        let before = (input.taken(), input.skipping());
+        let before = (input.taken(), input.bytes_to_skip());
         let mut exchange = self.exchange.borrow_mut();
         let mut send_report = |report| self.context.report(report);
         let mut progress = exchange.decode(now, input, send_report);
         while progress == Ok(Progress::NeedsMemory) {
             // Guards the node: what waits here is not to be taken for an answer that got lost.
-            if let Some(ticket) = exchange.ticket_at_head(input)
+            if let Some(attempt_id) = exchange.ticket_at_head(input)
                 && !timers.needs_memory()
             {
-                send_report(Report::HeldUp(ticket));
+                send_report(Report::AwaitingMemory(attempt_id));
             }
             if !timers.memory_wait_is_over(now) {
                 break;
@@ -195,7 +195,7 @@
         if progress != Progress::NeedsMemory {
             timers.end_memory_wait();
         }
-        let advanced = (input.taken(), input.skipping()) != before;
+        let advanced = (input.taken(), input.bytes_to_skip()) != before;
         timers.note_read(now, exchange.note_partial_answer(input), advanced);
         Ok(())
     }
--- a/src/net/pool/limits.rs
+++ b/src/net/pool/limits.rs
@@ -10,26 +10,26 @@
 
 /// The pool's limits.
 #[derive(Debug, Clone, Copy)]
-pub struct Limits {
+pub struct PoolLimits {
     /// A connection that is not made by then has failed (seconds).
-    pub connect_within: f64,
+    pub connect_timeout: f64,
     /// An unused connection is closed after this (seconds); well before the node does.
-    pub idle: f64,
+    pub idle_timeout: f64,
     /// Most requests on one connection.
-    pub streams: usize,
+    pub max_requests_per_connection: usize,
     /// Most connections in all.
-    pub connections: usize,
+    pub max_connections: usize,
     /// What each new one costs; 0: nothing.
-    pub handshake: f64,
+    pub handshake_cost: f64,
 }
 
-impl Limits {
+impl PoolLimits {
     /// So many requests on each connection to a node are worth a further one.
     pub(super) fn requests_per_connection(&self) -> usize {
-        let wanted = match self.handshake > 0.0 {
+        let wanted = match self.handshake_cost > 0.0 {
             true => REQUESTS_PER_PRICED_CONNECTION,
             false => REQUESTS_PER_FREE_CONNECTION,
         };
-        wanted.min(self.streams)
+        wanted.min(self.max_requests_per_connection)
     }
 }
--- a/src/net/pool/node_connections.rs
+++ b/src/net/pool/node_connections.rs
@@ -2,7 +2,7 @@
 
 use super::connection::ConnectionHandle;
 use super::limits::MAX_CONNECTIONS_PER_NODE;
-use crate::broker::Ticket;
+use crate::broker::AttemptId;
 use std::net::SocketAddr;
 
 /// A node's address and the connections to it.
@@ -39,9 +39,9 @@
     }
 
     /// Cancels an attempt, wherever it is.
-    pub(super) fn cancel(&self, ticket: Ticket) {
+    pub(super) fn cancel(&self, attempt_id: AttemptId) {
         for connection in self.active.iter().chain(&self.retired) {
-            connection.cancel(ticket);
+            connection.cancel(attempt_id);
         }
     }
 
--- a/src/net/pool/tests.rs
+++ b/src/net/pool/tests.rs
@@ -5,7 +5,7 @@
 use crate::broker::ClientRequest;
 use crate::clock;
 use crate::interface::{FillOptions, Node, RequestId};
-use crate::memory::{AccountLimits, PURPOSES, Plan, Purpose};
+use crate::memory::{LimitOverrides, PURPOSES, Plan, Purpose};
 use nix::time::{ClockId, clock_gettime};
 use std::io;
 use std::net::SocketAddr;
@@ -13,8 +13,13 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-const LIMITS: Limits =
-    Limits { connect_within: 5.0, idle: 5.0, streams: 100, connections: 64, handshake: 0.08 };
+const LIMITS: PoolLimits = PoolLimits {
+    connect_timeout: 5.0,
+    idle_timeout: 5.0,
+    max_requests_per_connection: 100,
+    max_connections: 64,
+    handshake_cost: 0.08,
+};
 
 fn order(request: u32, body: usize) -> Order {
     let ask = ClientRequest {
@@ -23,8 +28,8 @@
         ..ClientRequest::default()
     };
     Order {
-        ticket: Ticket { request: RequestId(request), attempt: 0 },
-        ask: ask.into(),
+        attempt_id: AttemptId { request: RequestId(request), attempt: 0 },
+        request: ask.into(),
         class: "media".into(),
         node: NodeId(1),
         source: None,
@@ -32,26 +37,26 @@
         age: 0.0,
         options: FillOptions::default(),
         due: clock::now() + 60.0,
-        oldest: 0.0,
+        min_created_at: 0.0,
         uncacheable: false,
-        returned: 0,
-        called_off: Rc::default(),
+        requeues: 0,
+        cancelled: Rc::default(),
         begin_by: f64::INFINITY,
     }
 }
 
 fn at(address: SocketAddr) -> Command {
     let node = Node { id: NodeId(1), ..Node::default() };
-    Command::Roster { full: true, members: vec![Member { node, address }] }
+    Command::NodeList { full: true, members: vec![Member { node, address }] }
 }
 
 fn cancel(request: u32) -> Command {
-    Command::Cancel { ticket: Ticket { request: RequestId(request), attempt: 0 }, node: NodeId(1) }
+    Command::Cancel { attempt_id: AttemptId { request: RequestId(request), attempt: 0 }, node: NodeId(1) }
 }
 
 /// Runs a pool that a test commands, and what it reports.
 fn pooled<T, F: Future<Output = T>>(
-    limits: Limits,
+    limits: PoolLimits,
     test: impl FnOnce(UnboundedSender<Command>, UnboundedReceiver<Report>) -> F,
 ) -> T {
     pooled_within(limits, Ledger::unlimited(), test)
@@ -59,7 +64,7 @@
 
 /// The same with these accounts.
 fn pooled_within<T, F: Future<Output = T>>(
-    limits: Limits,
+    limits: PoolLimits,
     memory: Ledger,
     test: impl FnOnce(UnboundedSender<Command>, UnboundedReceiver<Report>) -> F,
 ) -> T {
@@ -80,10 +85,10 @@
     pooled(LIMITS, |send, mut reported| async move {
         let stream = clogged(&send, &mut reported).await;
         send.send(cancel(1)).unwrap();
-        let Some(Report::Abandoned { ticket, outcome, propagation }) = reported.recv().await else {
+        let Some(Report::Abandoned { attempt_id, outcome, propagation }) = reported.recv().await else {
             panic!()
         };
-        assert_eq!((ticket.request, outcome), (RequestId(1), Outcome::Cancelled));
+        assert_eq!((attempt_id.request, outcome), (RequestId(1), Outcome::Cancelled));
         assert!(propagation > 0.0, "the node has yet to hear of it");
         // The node hears that the connection has ended.
         tokio::time::timeout(Duration::from_secs(3), sent(stream)).await.expect("the connection ends");
@@ -100,21 +105,23 @@
         send.send(Command::Send(order(1, 0))).unwrap();
         send.send(at(new.local_addr().unwrap())).unwrap();
         send.send(cancel(1)).unwrap();
-        let Some(Report::Ended { outcome, .. }) = reported.recv().await else { panic!("it was written") };
+        let Some(Report::AttemptEnded { outcome, .. }) = reported.recv().await else {
+            panic!("it was written")
+        };
         assert_eq!(outcome, Outcome::NotSent);
     });
 }
 
 /// Connections that a node that answers nothing has taken once it was sent so many requests at once.
-fn opened(handshake: f64, requests: u32) -> usize {
-    pooled(Limits { handshake, ..LIMITS }, |send, mut written| async move {
+fn opened(handshake_cost: f64, requests: u32) -> usize {
+    pooled(PoolLimits { handshake_cost, ..LIMITS }, |send, mut written| async move {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         send.send(at(listener.local_addr().unwrap())).unwrap();
         for request in 1..=requests {
             send.send(Command::Send(order(request, 0))).unwrap();
         }
         for _ in 0..requests {
-            assert!(matches!(written.recv().await, Some(Report::Written(_))));
+            assert!(matches!(written.recv().await, Some(Report::WriteStarted(_))));
         }
         // All was written, so whatever connection there is waits to be accepted.
         let (mut open, none) = (Vec::new(), Duration::ZERO);
@@ -144,9 +151,9 @@
     send.send(at(listener.local_addr().unwrap())).unwrap();
     send.send(Command::Send(order(1, 0))).unwrap();
     let (stream, _) = listener.accept().await.unwrap();
-    assert!(matches!(reported.recv().await, Some(Report::Written(_))));
+    assert!(matches!(reported.recv().await, Some(Report::WriteStarted(_))));
     send.send(Command::Send(order(2, 32 << 20))).unwrap();
-    assert!(matches!(reported.recv().await, Some(Report::Written(_))));
+    assert!(matches!(reported.recv().await, Some(Report::WriteStarted(_))));
     stream
 }
 
@@ -170,8 +177,10 @@
 #[test]
 fn what_changes_before_the_first_byte_is_taken_turns_the_order_away() {
     type Turn = fn(&Order);
-    let turns: [(&str, Turn); 2] =
-        [("its client leaves", |o| o.ask.gone.set(true)), ("it is called off", |o| o.called_off.set(true))];
+    let turns: [(&str, Turn); 2] = [
+        ("its client leaves", |o| o.request.cancelled.set(true)),
+        ("it is called off", |o| o.cancelled.set(true)),
+    ];
     for (what, turn) in turns {
         pooled(LIMITS, |send, mut reported| async move {
             let stream = clogged(&send, &mut reported).await;
@@ -182,14 +191,16 @@
             let fourth = order(4, 0);
             send.send(Command::Send(fourth)).unwrap();
             send.send(cancel(4)).unwrap();
-            let Some(Report::Ended { ticket, outcome, .. }) = reported.recv().await else { panic!() };
-            assert_eq!((ticket.request, outcome), (RequestId(4), Outcome::NotSent));
+            let Some(Report::AttemptEnded { attempt_id, outcome, .. }) = reported.recv().await else {
+                panic!()
+            };
+            assert_eq!((attempt_id.request, outcome), (RequestId(4), Outcome::NotSent));
             turn(&third);
             let read = tokio::task::spawn_local(sent(stream));
-            let Some(Report::Ended { ticket, outcome, .. }) = reported.recv().await else {
+            let Some(Report::AttemptEnded { attempt_id, outcome, .. }) = reported.recv().await else {
                 panic!("{what}: it was written")
             };
-            assert_eq!((ticket.request, outcome), (RequestId(3), Outcome::NotSent), "{what}");
+            assert_eq!((attempt_id.request, outcome), (RequestId(3), Outcome::NotSent), "{what}");
             read.abort();
         });
     }
@@ -204,10 +215,12 @@
         send.send(at(listener.local_addr().unwrap())).unwrap();
         let late = Order { begin_by: clock::now(), ..order(1, 0) };
         send.send(Command::Send(late)).unwrap();
-        let Some(Report::Ended { outcome, .. }) = reported.recv().await else { panic!("it was written") };
+        let Some(Report::AttemptEnded { outcome, .. }) = reported.recv().await else {
+            panic!("it was written")
+        };
         assert_eq!(outcome, Outcome::NotSent);
         send.send(Command::Send(Order { begin_by: clock::now() + 60.0, ..order(2, 0) })).unwrap();
-        assert!(matches!(reported.recv().await, Some(Report::Written(_))));
+        assert!(matches!(reported.recv().await, Some(Report::WriteStarted(_))));
     });
 }
 
@@ -220,14 +233,14 @@
         send.send(at(listener.local_addr().unwrap())).unwrap();
         send.send(Command::Send(order(1, 0))).unwrap();
         let (mut first, _) = listener.accept().await.unwrap();
-        assert!(matches!(reported.recv().await, Some(Report::Written(_))));
+        assert!(matches!(reported.recv().await, Some(Report::WriteStarted(_))));
         // The answer, and with it half of a second one.
         let answer = b"0000000000000001 NONE - 0\r\n\r\n0000000000000001 NO";
         tokio::io::AsyncWriteExt::write_all(&mut first, answer).await.unwrap();
-        assert!(matches!(reported.recv().await, Some(Report::Ended { outcome: Outcome::Miss, .. })));
+        assert!(matches!(reported.recv().await, Some(Report::AttemptEnded { outcome: Outcome::Miss, .. })));
         send.send(Command::Send(order(2, 0))).unwrap();
         let (second, _) = listener.accept().await.unwrap();
-        assert!(matches!(reported.recv().await, Some(Report::Written(_))));
+        assert!(matches!(reported.recv().await, Some(Report::WriteStarted(_))));
         let mut got = [0; 22];
         tokio::io::AsyncReadExt::read_exact(&mut { second }, &mut got).await.unwrap();
         assert_eq!(&got, b"serve 0000000000000002");
@@ -243,7 +256,7 @@
         send.send(at(listener.local_addr().unwrap())).unwrap();
         let write = async |request: u32, reported: &mut UnboundedReceiver<Report>| {
             send.send(Command::Send(order(request, 0))).unwrap();
-            assert!(matches!(reported.recv().await, Some(Report::Written(_))));
+            assert!(matches!(reported.recv().await, Some(Report::WriteStarted(_))));
         };
         write(1, &mut reported).await;
         let (mut first, _) = listener.accept().await.unwrap();
@@ -262,7 +275,9 @@
         let (second, _) = listener.accept().await.unwrap();
         second.set_zero_linger().unwrap();
         drop(second);
-        let Some(Report::Ended { outcome, .. }) = reported.recv().await else { panic!("reset by its node") };
+        let Some(Report::AttemptEnded { outcome, .. }) = reported.recv().await else {
+            panic!("reset by its node")
+        };
         assert_eq!(outcome, Outcome::Reset);
     });
 }
@@ -277,7 +292,7 @@
         let rested = async |request: u32, reported: &mut UnboundedReceiver<Report>| {
             send.send(Command::Send(order(request, 0))).unwrap();
             let (mut stream, _) = listener.accept().await.unwrap();
-            assert!(matches!(reported.recv().await, Some(Report::Written(_))));
+            assert!(matches!(reported.recv().await, Some(Report::WriteStarted(_))));
             // All of the order is read, so that an end is no reset.
             let mut line = Vec::new();
             while !line.ends_with(b"\r\n\r\n") {
@@ -287,15 +302,19 @@
             }
             let answer = format!("{request:016x} NONE - 0\r\n\r\n");
             tokio::io::AsyncWriteExt::write_all(&mut stream, answer.as_bytes()).await.unwrap();
-            let Some(Report::Ended { outcome: Outcome::Miss, .. }) = reported.recv().await else { panic!() };
+            let Some(Report::AttemptEnded { outcome: Outcome::Miss, .. }) = reported.recv().await else {
+                panic!()
+            };
             stream
         };
         // Both lie there at the connection's next turn, and what it is told comes before what it reads.
         let stream = rested(1, &mut reported).await;
         drop(stream);
         send.send(Command::Send(order(2, 0))).unwrap();
-        assert!(matches!(reported.recv().await, Some(Report::Written(_))), "it was written first");
-        let Some(Report::Ended { outcome, .. }) = reported.recv().await else { panic!("the node ended it") };
+        assert!(matches!(reported.recv().await, Some(Report::WriteStarted(_))), "it was written first");
+        let Some(Report::AttemptEnded { outcome, .. }) = reported.recv().await else {
+            panic!("the node ended it")
+        };
         assert_eq!(outcome, Outcome::Reset, "it may have run");
         // Its side is closed, and that was seen: this side is closed too.
         let mut stream = rested(3, &mut reported).await;
@@ -303,7 +322,7 @@
         assert_eq!(tokio::io::AsyncReadExt::read(&mut stream, &mut [0]).await.unwrap(), 0);
         send.send(Command::Send(order(4, 0))).unwrap();
         listener.accept().await.expect("a new connection");
-        assert!(matches!(reported.recv().await, Some(Report::Written(_))));
+        assert!(matches!(reported.recv().await, Some(Report::WriteStarted(_))));
         assert!(reported.try_recv().is_err(), "nothing was on the one that ended");
     });
 }
@@ -321,12 +340,12 @@
         // The node has the first one whole; the second one's body fills its window, and this system has the rest.
         for (request, body) in [(1, 0), (2, 48_000)] {
             send.send(Command::Send(order(request, body))).unwrap();
-            assert!(matches!(reported.recv().await, Some(Report::Written(_))));
+            assert!(matches!(reported.recv().await, Some(Report::WriteStarted(_))));
         }
         let (stream, _) = listener.accept().await.unwrap();
         send.send(cancel(1)).unwrap();
-        let Some(Report::Abandoned { ticket, outcome, .. }) = reported.recv().await else { panic!() };
-        assert_eq!((ticket.request, outcome), (RequestId(1), Outcome::Cancelled));
+        let Some(Report::Abandoned { attempt_id, outcome, .. }) = reported.recv().await else { panic!() };
+        assert_eq!((attempt_id.request, outcome), (RequestId(1), Outcome::Cancelled));
         // It has ended there if its cancel is there, or the connection has ended.
         let mut here = vec![0; 256 * 1024];
         let come = stream.peek(&mut here).await.unwrap_or(0);
@@ -349,7 +368,7 @@
     send.send(at(listener.local_addr().unwrap())).unwrap();
     for (request, body) in [(1, 0), (2, 48_000)] {
         send.send(Command::Send(order(request, body))).unwrap();
-        assert!(matches!(reported.recv().await, Some(Report::Written(_))));
+        assert!(matches!(reported.recv().await, Some(Report::WriteStarted(_))));
     }
     let (stream, _) = listener.accept().await.unwrap();
     (listener, stream)
@@ -392,8 +411,8 @@
             reports.push(reported.recv().await.unwrap());
         }
         let told = reports.iter().map(|report| match report {
-            Report::Abandoned { ticket, outcome, .. } => (ticket.request.0, Some(*outcome)),
-            Report::Written(ticket) => (ticket.request.0, None),
+            Report::Abandoned { attempt_id, outcome, .. } => (attempt_id.request.0, Some(*outcome)),
+            Report::WriteStarted(attempt_id) => (attempt_id.request.0, None),
             other => panic!("{other:?}"),
         });
         let expected = [(1, Some(Outcome::Cancelled)), (2, Some(Outcome::Reset)), (3, None)];
@@ -429,10 +448,10 @@
         // Nor does it matter that this thread is busy until the cancel would be overdue.
         let busy_until = clock::now() + 0.03;
         while clock::now() < busy_until {}
-        let Some(Report::Abandoned { ticket, outcome, .. }) = reported.recv().await else { panic!() };
-        assert_eq!((ticket.request, outcome), (RequestId(1), Outcome::Cancelled));
+        let Some(Report::Abandoned { attempt_id, outcome, .. }) = reported.recv().await else { panic!() };
+        assert_eq!((attempt_id.request, outcome), (RequestId(1), Outcome::Cancelled));
         let written = reported.recv().await;
-        assert!(matches!(written, Some(Report::Written(t)) if t.request == RequestId(3)), "{written:?}");
+        assert!(matches!(written, Some(Report::WriteStarted(t)) if t.request == RequestId(3)), "{written:?}");
         let text = read();
         assert!(text.contains("cancel 0000000000000001\r\nserve 0000000000000003 "), "{text}");
     });
@@ -463,7 +482,7 @@
         let mut stream = None;
         for request in 1..=100 {
             send.send(Command::Send(order(request, 0))).unwrap();
-            assert!(matches!(reported.recv().await, Some(Report::Written(_))));
+            assert!(matches!(reported.recv().await, Some(Report::WriteStarted(_))));
             send.send(cancel(request)).unwrap();
             turns().await;
             let report = reported.try_recv();
@@ -482,7 +501,7 @@
 /// nobody takes it for lost.
 #[test]
 fn an_answer_that_waits_for_memory_is_told_of() {
-    let mut limits = [AccountLimits::default(); PURPOSES];
+    let mut limits = [LimitOverrides::default(); PURPOSES];
     limits[Purpose::Unread as usize].cap = Some(10_000);
     let memory = Ledger::new(Plan::new(32_000_000, &limits, 1.0).unwrap(), 0);
     pooled_within(LIMITS, memory, |send, mut reported| async move {
@@ -490,12 +509,12 @@
         send.send(at(listener.local_addr().unwrap())).unwrap();
         send.send(Command::Send(order(1, 0))).unwrap();
         let (mut stream, _) = listener.accept().await.unwrap();
-        assert!(matches!(reported.recv().await, Some(Report::Written(_))));
+        assert!(matches!(reported.recv().await, Some(Report::WriteStarted(_))));
         let made = (clock::now() * 1000.0) as u64;
         let line = format!("0000000000000001 HIT n=TCP_HIT,etag=e,made={made} 20000\r\n");
         tokio::io::AsyncWriteExt::write_all(&mut stream, line.as_bytes()).await.unwrap();
-        let ticket = Ticket { request: RequestId(1), attempt: 0 };
-        assert_eq!(reported.recv().await, Some(Report::HeldUp(ticket)));
-        assert_eq!(reported.recv().await, Some(Report::NoMemory(ticket)));
+        let attempt_id = AttemptId { request: RequestId(1), attempt: 0 };
+        assert_eq!(reported.recv().await, Some(Report::AwaitingMemory(attempt_id)));
+        assert_eq!(reported.recv().await, Some(Report::NoMemory(attempt_id)));
     });
 }
--- a/src/net/resp.rs
+++ b/src/net/resp.rs
@@ -1,13 +1,13 @@
 //! RESP as clients speak it: arrays of bulk strings, every one with a tag. Parsing and writing only.
 
-use super::Unreadable;
+use super::ProtocolError;
 use crate::memory::Grant;
 
 /// A frame that cannot be read, after which nothing on its connection can. Its tag, if that came before.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FrameError {
     /// What is wrong.
-    pub why: Unreadable,
+    pub error: ProtocolError,
     /// The tag, which an answer can be given to.
     pub tag: Option<u64>,
 }
@@ -51,21 +51,21 @@
 }
 
 /// Reads `MARK number CR LF`; `None` while it is not whole.
-fn header(bytes: &[u8], mark: u8, most: usize) -> Result<Option<(usize, usize)>, Unreadable> {
+fn header(bytes: &[u8], mark: u8, most: usize) -> Result<Option<(usize, usize)>, ProtocolError> {
     let Some(&first) = bytes.first() else { return Ok(None) };
     if first != mark {
-        return Err(Unreadable("a frame that is no array of bulk strings"));
+        return Err(ProtocolError("a frame that is no array of bulk strings"));
     }
     let line = &bytes[1..bytes.len().min(DIGITS + 3)];
     let Some(end) = line.iter().position(|&b| b == b'\n') else {
         let full = line.len() == DIGITS + 2;
-        return if full { Err(Unreadable("an overlong count")) } else { Ok(None) };
+        return if full { Err(ProtocolError("an overlong count")) } else { Ok(None) };
     };
-    let digits = line[..end].strip_suffix(b"\r").ok_or(Unreadable("a count without CR"))?;
-    let count = super::number(digits).ok_or(Unreadable("a count that is no number"))?;
+    let digits = line[..end].strip_suffix(b"\r").ok_or(ProtocolError("a count without CR"))?;
+    let count = super::parse_u64(digits).ok_or(ProtocolError("a count that is no number"))?;
     match usize::try_from(count) {
         Ok(count) if count <= most => Ok(Some((count, end + 2))),
-        _ => Err(Unreadable("an oversized frame")),
+        _ => Err(ProtocolError("an oversized frame")),
     }
 }
 
@@ -75,12 +75,12 @@
     let mut words: [&[u8]; WORDS] = [&[]; WORDS];
     let mut had = 0;
     match frame(bytes, &mut words, &mut had) {
-        Ok(Some((count, used))) => match super::number(words[1]).filter(|_| count >= 2) {
-            None => Err(FrameError { why: Unreadable("a frame without a tag"), tag: None }),
+        Ok(Some((count, used))) => match super::parse_u64(words[1]).filter(|_| count >= 2) {
+            None => Err(FrameError { error: ProtocolError("a frame without a tag"), tag: None }),
             Some(tag) => Ok(Some((command(&words, count, tag), used))),
         },
         Ok(None) => Ok(None),
-        Err(why) => Err(FrameError { why, tag: super::number(words[1]).filter(|_| had >= 2) }),
+        Err(error) => Err(FrameError { error, tag: super::parse_u64(words[1]).filter(|_| had >= 2) }),
     }
 }
 
@@ -89,13 +89,13 @@
     bytes: &'a [u8],
     words: &mut [&'a [u8]; WORDS],
     had: &mut usize,
-) -> Result<Option<(usize, usize)>, Unreadable> {
+) -> Result<Option<(usize, usize)>, ProtocolError> {
     let Some((count, mut at)) = header(bytes, b'*', WORDS)? else { return Ok(None) };
     for word in words.iter_mut().take(count) {
         let Some((length, used)) = header(&bytes[at..], b'$', BULK)? else { return Ok(None) };
         at += used;
         let Some(bulk) = bytes.get(at..at + length + 2) else { return Ok(None) };
-        *word = bulk.strip_suffix(b"\r\n").ok_or(Unreadable("a bulk string without its end"))?;
+        *word = bulk.strip_suffix(b"\r\n").ok_or(ProtocolError("a bulk string without its end"))?;
         at += length + 2;
         *had += 1;
     }
@@ -113,7 +113,7 @@
 
 /// A request whose body is not whole, as far as its words before the body say.
 #[derive(Debug, PartialEq)]
-pub struct Pending<'a> {
+pub struct PartialRequest<'a> {
     /// The tag of the answer.
     pub tag: u64,
     /// The class, in a word.
@@ -126,7 +126,7 @@
 
 /// Reads a request whose body has been announced and has not come whole; `None` if there is none such at the head
 /// of `bytes`. So a body can be refused, or granted, before its bytes are read.
-pub fn pending(bytes: &[u8]) -> Option<Pending<'_>> {
+pub fn parse_partial_request(bytes: &[u8]) -> Option<PartialRequest<'_>> {
     let (count, mut at) = header(bytes, b'*', WORDS).ok()??;
     let mut words: [&[u8]; 4] = [&[]; 4];
     for word in words.iter_mut().filter(|_| count == 5) {
@@ -136,8 +136,8 @@
     }
     let (body, used) = header(bytes.get(at..)?, b'$', BULK).ok()??;
     let total = at + used + body + 2;
-    let tag = super::number(words[1]).filter(|_| words[0] == b"REQ" && total > bytes.len())?;
-    Some(Pending { tag, class: words[2], body, total })
+    let tag = super::parse_u64(words[1]).filter(|_| words[0] == b"REQ" && total > bytes.len())?;
+    Some(PartialRequest { tag, class: words[2], body, total })
 }
 
 /// Most digits of a number.
@@ -157,7 +157,7 @@
 }
 
 /// Writes an answer: tag, word, fields, body with its memory and when it is due.
-pub fn answer(
+pub fn write_answer(
     out: &mut super::Output,
     tag: u64,
     word: &str,
--- a/src/net/send_queue.rs
+++ b/src/net/send_queue.rs
@@ -71,14 +71,14 @@
 
 impl SendQueue {
     /// Lets the system take as much as usual. To be called before each write.
-    pub(super) fn before_write(&self, stream: &TcpStream) {
+    pub(super) fn prepare_write(&self, stream: &TcpStream) {
         if self.bounded.take() {
             let _ = SockRef::from(stream).set_tcp_notsent_lowat(SYSTEM_BOUND);
         }
     }
 
     /// The system took so many bytes.
-    pub(super) fn wrote(&self, bytes: usize) {
+    pub(super) fn record_write(&self, bytes: usize) {
         self.unconfirmed.set(self.unconfirmed.get() + bytes);
         self.known.set(None);
     }
@@ -103,7 +103,7 @@
     }
 
     /// Is all that was written sent, and none of it known to be without room at the peer? Asks the system. If it is not so,
-    /// [`SendQueue::changed`] waits for that.
+    /// [`SendQueue::delivery_changed`] waits for that.
     pub(super) fn is_empty(&self, stream: &TcpStream) -> bool {
         !self.delivery(stream).is_blocked()
     }
@@ -116,7 +116,7 @@
     }
 
     /// Waits until what is not delivered yet may have been: by an event where that comes, else for a while.
-    pub(super) async fn changed(&self, stream: &TcpStream) -> io::Result<()> {
+    pub(super) async fn delivery_changed(&self, stream: &TcpStream) -> io::Result<()> {
         if self.known.get() == Some(Delivery::Unsent) {
             return stream.writable().await;
         }
--- a/src/net/send_queue/tests.rs
+++ b/src/net/send_queue/tests.rs
@@ -20,9 +20,9 @@
     let (stream, mut peer) = pair().await;
     let queue = SendQueue::default();
     let bytes = vec![b'x'; 240_000];
-    queue.before_write(&stream);
+    queue.prepare_write(&stream);
     let written = stream.try_write(&bytes).unwrap();
-    queue.wrote(written);
+    queue.record_write(written);
     assert!(!queue.is_empty(&stream));
     assert!(!queue.is_empty(&stream), "nothing has changed");
     // The peer reads all; the runtime is told, without a further look.
@@ -40,9 +40,9 @@
 async fn a_write_is_not_bounded_by_what_is_unsent() {
     let (stream, _peer) = pair().await;
     let queue = SendQueue::default();
-    queue.wrote(stream.try_write(&[b'x'; 100_000]).unwrap());
+    queue.record_write(stream.try_write(&[b'x'; 100_000]).unwrap());
     assert!(!queue.is_empty(&stream));
-    queue.before_write(&stream);
+    queue.prepare_write(&stream);
     stream.writable().await.unwrap();
     assert_eq!(stream.try_write(&[b'x'; 100_000]).unwrap(), 100_000);
 }
@@ -54,8 +54,8 @@
     let queue = SendQueue::default();
     // As many short answers as the other side has room for, and some behind them.
     while queue.is_empty(&stream) {
-        queue.before_write(&stream);
-        queue.wrote(stream.try_write(&[b'x'; 900]).unwrap());
+        queue.prepare_write(&stream);
+        queue.record_write(stream.try_write(&[b'x'; 900]).unwrap());
         assert!(queue.unconfirmed.get() <= ASKED_BEYOND);
         assert!(!queue.is_known_unsent(&stream) && !queue.bounded.get());
     }
@@ -75,9 +75,9 @@
         let (mut written, mut come) = (0, 0);
         // The loopback device delivers, or the system drops, before a write returns.
         while come == written {
-            queue.before_write(&stream);
+            queue.prepare_write(&stream);
             let n = stream.try_write(&vec![b'x'; sizes.usize(1..100)]).unwrap();
-            queue.wrote(n);
+            queue.record_write(n);
             written += n;
             come = peer.peek(&mut [0; 64 * 1024]).unwrap();
         }
@@ -103,15 +103,15 @@
     let mut written = 0;
     for _ in 0..FITTING_MOST {
         while queue.delivery(stream) == Delivery::InFlight {
-            queue.changed(stream).await.unwrap();
+            queue.delivery_changed(stream).await.unwrap();
         }
         let window = TcpInfo::of(stream).unwrap().send_window();
         if window == 0 {
             return written;
         }
-        queue.before_write(stream);
+        queue.prepare_write(stream);
         let n = stream.try_write(&vec![b'x'; window.min(4_000) as usize]).unwrap();
-        queue.wrote(n);
+        queue.record_write(n);
         written += n;
     }
     panic!("the harness: the window does not close");
@@ -130,7 +130,7 @@
     // The peer reads, and its system says that it has room, which is no event here.
     peer.read_exact(&mut vec![0; written]).unwrap();
     while queue.is_known_unsent(&stream) {
-        queue.changed(&stream).await.unwrap();
+        queue.delivery_changed(&stream).await.unwrap();
     }
     assert_eq!(queue.delivery(&stream), Delivery::Delivered);
 }
@@ -145,7 +145,7 @@
     assert!(!queue.is_empty(&stream));
     stream.writable().await.unwrap();
     let waited = std::time::Instant::now();
-    queue.changed(&stream).await.unwrap();
+    queue.delivery_changed(&stream).await.unwrap();
     assert!(waited.elapsed() >= super::DELIVERY_CHECK_INTERVAL, "a busy loop");
 }
 
@@ -155,13 +155,13 @@
     let (stream, peer) = pair().await;
     SockRef::from(&peer).set_tcp_quickack(false).unwrap();
     let queue = SendQueue::default();
-    queue.before_write(&stream);
-    queue.wrote(stream.try_write(b"a short answer").unwrap());
+    queue.prepare_write(&stream);
+    queue.record_write(stream.try_write(b"a short answer").unwrap());
     // A machine that is late finds it delivered at once.
     while queue.delivery(&stream) != Delivery::Delivered {
         assert_eq!(queue.delivery(&stream), Delivery::InFlight);
         assert!(queue.is_empty(&stream) && !queue.is_known_unsent(&stream));
-        queue.changed(&stream).await.unwrap();
+        queue.delivery_changed(&stream).await.unwrap();
     }
 }
 
@@ -170,8 +170,8 @@
 async fn a_short_answer_is_asked_about_by_nobody_else() {
     let (stream, _peer) = pair().await;
     let queue = SendQueue::default();
-    queue.before_write(&stream);
-    queue.wrote(stream.try_write(b"a short answer").unwrap());
+    queue.prepare_write(&stream);
+    queue.record_write(stream.try_write(b"a short answer").unwrap());
     assert!(!queue.is_known_unsent(&stream));
     assert_eq!((queue.known.get(), queue.sent_at()), (None, None));
 }
--- a/src/planted.rs
+++ b/src/planted.rs
@@ -53,7 +53,7 @@
 }
 
 /// `refuse=SHARE`, of `class=N` alone, from `after=S` on: is this request refused?
-pub fn refuses(class: u16) -> bool {
+pub fn should_refuse(class: u16) -> bool {
     thread_local!(static RANDOM: RefCell<fastrand::Rng> = const { RefCell::new(fastrand::Rng::with_seed(1)) });
     let Some(share) = number("refuse") else { return false };
     if number("class").is_some_and(|c| c as u16 != class) || since("after").is_some_and(|s| s < 0.0) {
@@ -63,29 +63,29 @@
 }
 
 /// `delay=S`: whatever goes to a cache node goes so much later.
-pub fn delay() -> Option<Duration> {
+pub fn attempt_delay() -> Option<Duration> {
     number("delay").map(Duration::from_secs_f64)
 }
 
 /// What the operators' socket does wrong: `mute=S` says nothing from then on, `never` is never ready, `other` says that
 /// it runs something else.
-pub enum Socket {
+pub enum OperatorFault {
     /// Nothing.
-    Well,
+    None,
     /// No answer.
     Mute,
     /// Not ready.
-    Never,
+    NeverReady,
     /// Another version.
-    Other,
+    OtherBuild,
 }
 
 /// What it does wrong now.
-pub fn socket() -> Socket {
+pub fn operator_fault() -> OperatorFault {
     match () {
-        () if since("mute").is_some_and(|s| s > 0.0) => Socket::Mute,
-        () if has("never") => Socket::Never,
-        () if has("other") => Socket::Other,
-        () => Socket::Well,
+        () if since("mute").is_some_and(|s| s > 0.0) => OperatorFault::Mute,
+        () if has("never") => OperatorFault::NeverReady,
+        () if has("other") => OperatorFault::OtherBuild,
+        () => OperatorFault::None,
     }
 }
--- a/src/routing/beliefs.rs
+++ b/src/routing/beliefs.rs
@@ -141,8 +141,9 @@
     pub fn disbelieve(&mut self, object: ObjectId, part: u32, node: NodeId) {
         let hash = self.hash(object, part);
         for g in &mut self.generations {
-            let same =
-                |s: &BeliefSlot| (s.object, s.part, s.node) == (object.0, part, node.0) && s.stamp >= FIRST_STAMP;
+            let same = |s: &BeliefSlot| {
+                (s.object, s.part, s.node) == (object.0, part, node.0) && s.stamp >= FIRST_STAMP
+            };
             let mut probe = g.probe(hash).take_while(|&i| g.slots[i].stamp != EMPTY);
             if let Some(i) = probe.find(|&i| same(&g.slots[i])) {
                 g.slots[i].stamp = REMOVED;
@@ -276,7 +277,9 @@
 
     fn held(b: &Beliefs, object: u64, part: u32) -> BTreeMap<u64, f64> {
         let mut all = BTreeMap::new();
-        b.for_each_holder(ObjectId(object), part, |node, at| assert!(all.insert(node.0, at).is_none(), "a node twice"));
+        b.for_each_holder(ObjectId(object), part, |node, at| {
+            assert!(all.insert(node.0, at).is_none(), "a node twice")
+        });
         all
     }
 
@@ -302,7 +305,9 @@
                         b.disbelieve(ObjectId(object), part, NodeId(node));
                         model.remove(&(object, part, node));
                     }
-                    6 if tight => b.set_memory_limit(Generation::bytes(MIN_SLOTS * (1 + usize::from(tenths) / 8))),
+                    6 if tight => {
+                        b.set_memory_limit(Generation::bytes(MIN_SLOTS * (1 + usize::from(tenths) / 8)))
+                    }
                     _ => now += f64::from(tenths) / 4.0,
                 }
                 let here = held(&b, object, part);
--- a/src/routing/purges.rs
+++ b/src/routing/purges.rs
@@ -96,7 +96,9 @@
             p.record(100.0 + i as f64 * 1e-6, Ok(ObjectId(i)), 100.0, 30.0);
         }
         assert!(p.footprint() < 4 << 20, "{}", p.footprint());
-        assert!((0..40 * MAX_PURGES as u64).step_by(997).all(|i| p.latest(ObjectId(i), GroupId(0)).is_some()));
+        assert!(
+            (0..40 * MAX_PURGES as u64).step_by(997).all(|i| p.latest(ObjectId(i), GroupId(0)).is_some())
+        );
         p.record(200.0, Err(GroupId(1)), 200.0, 30.0);
         assert_eq!(p.latest(ObjectId(5), GroupId(0)), None, "the merged purge ends");
     }
--- a/src/routing/sizes/tests.rs
+++ b/src/routing/sizes/tests.rs
@@ -44,7 +44,8 @@
     for i in 0..20_000 {
         let large = random.f64() < 0.1;
         let (late, in_time) = (large && random.f64() < 0.5, !large || random.f64() < 0.5);
-        let refused = fairness.should_refuse(f64::from(i) * 0.2, if large { 2.5 } else { 0.8 }, late, in_time);
+        let refused =
+            fairness.should_refuse(f64::from(i) * 0.2, if large { 2.5 } else { 0.8 }, late, in_time);
         if large && in_time {
             asked += 1.0;
             sent += f64::from(u8::from(!refused));
--- a/src/signed/connection.rs
+++ b/src/signed/connection.rs
@@ -3,10 +3,10 @@
 use super::{Admitted, BUSY, Front, Rejection, WHOLE_HEAD, http};
 use crate::broker::{Answer, Caller, ClientRequest, Content, Input};
 use crate::clock;
-use crate::memory::{AccountOwner, Grant, Purpose, Refused};
+use crate::memory::{AccountOwner, Grant, MemoryRefusal, Purpose};
 use crate::net::{
-    Buffer, ClientSocket, ConnectionSlot, DELIVERY_CHECK_INTERVAL, Delivery, INPUT, Output,
-    PEER_CHECK_INTERVAL, SendState, linger, peer_has_closed, readable_within_window,
+    Buffer, ClientSocket, ConnectionSlot, DELIVERY_CHECK_INTERVAL, Delivery, Output, PEER_CHECK_INTERVAL,
+    READ_CHUNK_BYTES, SendState, linger, peer_has_closed, readable_within_window,
 };
 use http::Unusable;
 use std::io;
@@ -51,9 +51,10 @@
         let (reply, answers) = unbounded_channel();
         let number = front.numbers.get() + 1;
         front.numbers.set(number);
-        let input = Buffer::new(INPUT, front.memory.empty(AccountOwner::of(Purpose::Signed)));
-        let unread = AccountOwner { precious: true, ..AccountOwner::of(Purpose::Unread) };
-        let output = Output::new(front.memory.empty(unread));
+        let input =
+            Buffer::new(READ_CHUNK_BYTES, front.memory.empty_grant(AccountOwner::of(Purpose::Signed)));
+        let unread = AccountOwner { may_use_reserve: true, ..AccountOwner::of(Purpose::Unread) };
+        let output = Output::new(front.memory.empty_grant(unread));
         Connection {
             front,
             socket,
@@ -109,7 +110,7 @@
         let arrived = clock::now();
         // What was read of its head is held while it is served.
         let text = request.fields.iter().map(|(name, value)| name.len() + value.len() + FIELD).sum::<usize>();
-        let held = self.front.memory.ask(WHOLE_HEAD, text + 2 * request.target.len());
+        let held = self.front.memory.acquire(WHOLE_HEAD, text + 2 * request.target.len());
         let admitted = match &held {
             Ok(_) => self.front.admit(arrived, request).and_then(|ask| self.hold(ask, request.length)),
             Err(_) => Err(BUSY),
@@ -126,7 +127,7 @@
                 let Some(mut answer) = self.ask(ask).await? else { return Ok(false) };
                 // What the core gave up on since its time was over is told as that.
                 if matches!(answer, Answer::Refused(_) | Answer::Failed) && clock::now() >= deadline {
-                    answer = Answer::Late;
+                    answer = Answer::DeadlineExceeded;
                 }
                 self.answer(answer, request, end);
             }
@@ -213,7 +214,7 @@
         let half_a_head = !self.input.is_empty();
         loop {
             let now = clock::now();
-            let unsent = self.slot.is_unsent();
+            let unsent = self.slot.is_send_blocked();
             if !half_a_head && unsent != was_unsent {
                 // An end is seen only by a client that took its answer: until then it has longer, and then a whole time.
                 by = if unsent { by + Duration::from_secs_f64(IDLE) } else { clock::instant(now + IDLE) };
@@ -293,11 +294,11 @@
         self.tag += 1;
         let caller = Caller { connection: self.number, tag: self.tag };
         let ended = |_| io::Error::other("the broker has ended");
-        let gone = ask.gone.clone();
-        let input = Input::Ask { caller, ask: ask.into(), reply: self.reply.clone() };
+        let gone = ask.cancelled.clone();
+        let input = Input::Request { caller, request: ask.into(), reply: self.reply.clone() };
         self.front.asks.send(input).await.map_err(ended)?;
         loop {
-            let reads = self.input.len() < INPUT;
+            let reads = self.input.len() < READ_CHUNK_BYTES;
             let left = tokio::select! {
                 biased;
                 Some((tag, answer)) = self.answers.recv() => {
@@ -327,8 +328,8 @@
     /// Takes memory for a request and its body; what does not fit is refused before its body is read.
     fn hold(&self, mut ask: ClientRequest, body: usize) -> Admitted {
         let rules = self.front.classes.get(usize::from(ask.class.0));
-        let held = ask.hold(&self.front.memory, rules.is_some_and(|c| c.uncacheable), body);
-        held.map_err(|Refused { .. }| BUSY).map(|()| ask)
+        let held = ask.reserve_memory(&self.front.memory, rules.is_some_and(|c| c.uncacheable), body);
+        held.map_err(|MemoryRefusal { .. }| BUSY).map(|()| ask)
     }
 
     fn answer(&mut self, answer: Answer, request: &http::Request, end: (&str, &str)) {
@@ -344,7 +345,7 @@
             }
             Answer::Forbidden => self.say(403, &[end], "no contract covers the request", bare),
             Answer::Failed => self.say(502, &[end], "the caches failed", bare),
-            Answer::Late => self.say(504, &[end], "no answer in time", bare),
+            Answer::DeadlineExceeded => self.say(504, &[end], "no answer in time", bare),
         }
     }
 
@@ -361,7 +362,7 @@
         let same = request.field("if-range").is_none_or(|tag| tag == etag);
         let asked = request.field("range").filter(|_| request.method == "GET" && same);
         let (status, part, place) = match asked.and_then(|r| http::range(r, length)) {
-            _ if content.current => (304, 0..0, None),
+            _ if content.not_modified => (304, 0..0, None),
             None => (200, 0..length, None),
             Some(Ok(r)) => (206, r.clone(), Some(format!("bytes {}-{}/{length}", r.start, r.end - 1))),
             Some(Err(())) => (416, 0..0, Some(format!("bytes */{length}"))),
--- a/src/signed/http.rs
+++ b/src/signed/http.rs
@@ -75,7 +75,7 @@
 
 fn length(fields: &[(String, String)]) -> Result<Option<usize>, Unusable> {
     let Some(text) = only(fields, "content-length")? else { return Ok(None) };
-    let digits = crate::net::number(text.as_bytes()).ok_or(MALFORMED)?;
+    let digits = crate::net::parse_u64(text.as_bytes()).ok_or(MALFORMED)?;
     usize::try_from(digits).map(Some).map_err(|_| Unusable(413))
 }
 
@@ -165,7 +165,7 @@
 /// unit, several ranges, or none that can be read), an error where there are no such bytes.
 pub fn range(header: &str, length: usize) -> Option<Result<std::ops::Range<usize>, ()>> {
     let (first, last) = header.strip_prefix("bytes=")?.split_once('-')?;
-    let digits = |text: &str| crate::net::number(text.as_bytes()).and_then(|n| usize::try_from(n).ok());
+    let digits = |text: &str| crate::net::parse_u64(text.as_bytes()).and_then(|n| usize::try_from(n).ok());
     let range = match (digits(first), digits(last)) {
         (Some(first), Some(last)) if first <= last => first..last.saturating_add(1).min(length),
         (Some(first), None) if last.is_empty() => first..length,
--- a/src/signed/mod.rs
+++ b/src/signed/mod.rs
@@ -117,7 +117,7 @@
 }
 
 /// What a whole head takes may come out of the reserve: half heads, however many, must not keep it out.
-const WHOLE_HEAD: AccountOwner = AccountOwner { purpose: Purpose::Signed, team: None, precious: true };
+const WHOLE_HEAD: AccountOwner = AccountOwner { purpose: Purpose::Signed, team: None, may_use_reserve: true };
 /// There is no memory for it.
 const BUSY: Rejection = Rejection { status: 503, why: "busy; try again" };
 
@@ -131,7 +131,7 @@
             return denied(403, "no contract covers the path");
         };
         let Some(rules) = self.classes.get(usize::from(class.0)) else { return denied(403, "no class") };
-        let Ok(_check) = self.memory.ask(WHOLE_HEAD, token::CHECK) else {
+        let Ok(_check) = self.memory.acquire(WHOLE_HEAD, token::CHECK) else {
             return Err(BUSY);
         };
         let cookie = request.field("cookie").and_then(uri::cookie).map(str::to_owned);
@@ -176,7 +176,7 @@
             call: format!("{:016x}", fastrand::u64(..)).into(),
             asset: format!("{object:016x}").into(),
             key: key.map(Into::into),
-            have: etag.filter(plain).map(Into::into),
+            client_etag: etag.filter(plain).map(Into::into),
             path: Some(target.path.into()),
             ..ClientRequest::default()
         })
--- a/src/spread/cold/tests.rs
+++ b/src/spread/cold/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-const COLD: Cold = Cold { from: 0.2, time: 10.0, multiple: 2.0, window: 1.0, sharers: 200.0 };
+const COLD: SlowStart = SlowStart { from: 0.2, time: 10.0, multiple: 2.0, window: 1.0, sharers: 200.0 };
 
 /// 200 fronts that want to send at a rate each; the most work within a window, by what the node bears
 /// then, and how many of the attempts are let through.
@@ -21,13 +21,21 @@
             asked += 1;
             let lately = if *last + COLD.window > now { work } else { 0.0 };
             let seed = me as u64 * 7919;
-            if COLD.admits(SlowStartRequest { now, ready_at: 100.0, link, work, lately, rate: told, seed }) {
+            if COLD.admits(SlowStartRequest {
+                now,
+                ready_at: 100.0,
+                link,
+                work,
+                recent_work: lately,
+                rate: told,
+                seed,
+            }) {
                 *last = now;
                 sent.push((now, work));
             }
         }
         let lately: f64 = sent.iter().rev().take_while(|s| s.0 > now - COLD.window).map(|s| s.1).sum();
-        worst = worst.max(lately / (COLD.multiple * COLD.part(now, 100.0) * link * COLD.window));
+        worst = worst.max(lately / (COLD.multiple * COLD.capacity_share(now, 100.0) * link * COLD.window));
     }
     (worst, sent.len() as f64 / f64::from(asked))
 }
@@ -52,12 +60,12 @@
         ready_at: 90.0,
         link: 0.1,
         work: 9.0,
-        lately: 9.0,
+        recent_work: 9.0,
         rate: 9.0,
         seed: 1,
     };
     assert!(COLD.admits(request) && COLD.admits(SlowStartRequest { ready_at: 0.0, ..request }));
-    assert!((COLD.part(95.0, 90.0) - 0.6).abs() < 1e-9);
+    assert!((COLD.capacity_share(95.0, 90.0) - 0.6).abs() < 1e-9);
 }
 
 /// A fleet at a node that starts cold: how many fronts, what one wants of it in the mean (attempts a second), how many times
@@ -72,10 +80,10 @@
 /// Calls beyond the N that the node bears at the time, in times the root of N, at their most, and at most beyond
 /// N + 2 x root of N + 2. Fronts hear of the node up to 2 s late, three in ten are restarted while it is cold and have
 /// forgotten what they sent it; each knows its own rate.
-fn excess(cold: Cold, link: f64, fleet: &Fleet, seed: u64) -> (f64, f64) {
+fn excess(cold: SlowStart, link: f64, fleet: &Fleet, seed: u64) -> (f64, f64) {
     let mut random = fastrand::Rng::with_seed(seed);
     let (work, step, begin) = (0.25, 0.005, 1000.0);
-    let cold = Cold { sharers: fleet.fronts as f64, ..cold };
+    let cold = SlowStart { sharers: fleet.fronts as f64, ..cold };
     struct Front {
         rate: f64,
         heard: f64,
@@ -111,7 +119,7 @@
                 ready_at: begin,
                 link,
                 work,
-                lately,
+                recent_work: lately,
                 rate: front.rate,
                 seed,
             }) {
@@ -120,7 +128,7 @@
             }
         }
         let lately = came.iter().rev().take_while(|&&at| at > now - cold.window).count() as f64;
-        let bears = cold.multiple * cold.part(now, begin) * link * cold.window / work;
+        let bears = cold.multiple * cold.capacity_share(now, begin) * link * cold.window / work;
         most = most.max((lately - bears) / bears.sqrt());
         beyond = beyond.max(lately - bears - 2.0 * bears.sqrt() - 2.0);
     }
@@ -130,8 +138,8 @@
 /// A fleet may not push a cold node over, whatever its size, and whoever in it sees most of the traffic.
 #[test]
 fn fleets_of_any_size_leave_a_cold_node_standing() {
-    let thin = Cold { from: 0.2, time: 12.0, multiple: 2.0, window: 1.0, sharers: 0.0 };
-    let wide = Cold { from: 0.4, time: 9.0, multiple: 3.0, window: 2.0, sharers: 0.0 };
+    let thin = SlowStart { from: 0.2, time: 12.0, multiple: 2.0, window: 1.0, sharers: 0.0 };
+    let wide = SlowStart { from: 0.4, time: 9.0, multiple: 3.0, window: 2.0, sharers: 0.0 };
     for fronts in [1, 2, 6, 20, 30, 300] {
         for (name, cold, link) in [("thin", thin, 2.0), ("wide", wide, 8.0)] {
             // All together want as much as the node could do when warm, half of that, and three times that.
--- a/src/spread/heat.rs
+++ b/src/spread/heat.rs
@@ -26,7 +26,7 @@
 
 /// The sketch. Every part of an object is one of its own, as copies are.
 #[derive(Debug, Default)]
-pub struct Heat {
+pub struct PopularitySketch {
     counters: Vec<Counter>,
     /// Requests, and their work in seconds of sending; as the counts, in those of the base time.
     requests: f64,
@@ -42,9 +42,9 @@
     object.0.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ u64::from(part).wrapping_mul(0xd1b5_4a32_d192_ed03)
 }
 
-impl Heat {
+impl PopularitySketch {
     /// A part was asked for, which takes `work` seconds of sending.
-    pub fn saw(&mut self, now: f64, object: ObjectId, part: u32, work: f64) {
+    pub fn record(&mut self, now: f64, object: ObjectId, part: u32, work: f64) {
         if now - self.base > REBASE * MEMORY {
             let left = ((self.base - now) / MEMORY).exp();
             self.counters.iter_mut().for_each(|c| (c.count, c.error) = (c.count * left, c.error * left));
@@ -103,7 +103,7 @@
     /// How many homes a part has among so many caches: one, and one more for each `PART` of a cache's mean
     /// load that it is. All fronts see the same requests in the mean, so that one front's share of its own
     /// load stands for all's.
-    pub fn homes(&self, now: f64, object: ObjectId, part: u32, work: f64, caches: usize) -> usize {
+    pub fn home_count(&self, now: f64, object: ObjectId, part: u32, work: f64, caches: usize) -> usize {
         let more = self.share(now, object, part, work) * caches as f64 / PART;
         (1 + more as usize).min(caches.max(1))
     }
@@ -120,30 +120,32 @@
 
     #[test]
     fn what_is_seen_again_is_hot_and_cools_off() {
-        let mut heat = Heat::default();
-        let homes = |heat: &Heat, now, object, part| heat.homes(now, ObjectId(object), part, 0.2, 20);
+        let mut heat = PopularitySketch::default();
+        let homes = |heat: &PopularitySketch, now, object, part| {
+            heat.home_count(now, ObjectId(object), part, 0.2, 20)
+        };
         for i in 0..40 {
             let now = 1000.0 + i as f64;
-            heat.saw(now, ObjectId(100 + i), 0, 0.2);
+            heat.record(now, ObjectId(100 + i), 0, 0.2);
             assert_eq!(homes(&heat, now, 100 + i, 0), 1, "seen once");
             if i % 5 == 0 {
-                heat.saw(now, ObjectId(5), 0, 0.2);
+                heat.record(now, ObjectId(5), 0, 0.2);
             }
         }
         let now = 1040.0;
         assert_eq!(homes(&heat, now, 5, 0), 20, "one of six requests: more than a cache's part of the load");
         assert_eq!(homes(&heat, now, 5, 1), 1, "another part of it was not asked for");
-        assert_eq!(heat.homes(now, ObjectId(5), 0, 0.002, 20), 1, "a small one takes nothing");
+        assert_eq!(heat.home_count(now, ObjectId(5), 0, 0.002, 20), 1, "a small one takes nothing");
         assert_eq!(homes(&heat, now + 5.0 * MEMORY, 5, 0), 1, "long ago");
     }
 
     #[test]
     fn a_rate_is_told_once_it_was_looked_at() {
-        let mut heat = Heat::default();
+        let mut heat = PopularitySketch::default();
         assert_eq!(heat.rate(1000.0), f64::INFINITY);
         for i in 0..600 {
             let now = 1000.0 + f64::from(i) * 0.5;
-            heat.saw(now, ObjectId(i as u64), 0, 0.2);
+            heat.record(now, ObjectId(i as u64), 0, 0.2);
             let rate = heat.rate(now);
             assert!(
                 if now <= 1010.0 { rate.is_infinite() } else { (1.6..2.6).contains(&rate) },
@@ -155,12 +157,12 @@
     /// Guards against a busy front, in which a thousand others come between two requests for a hot object.
     #[test]
     fn a_stream_of_objects_seen_once_pushes_out_nothing_hot_and_makes_nothing_hot() {
-        let mut heat = Heat::default();
+        let mut heat = PopularitySketch::default();
         for i in 0..60_000u64 {
             let now = 1000.0 + i as f64 / 1000.0;
-            heat.saw(now, ObjectId(1_000_000 + i), 0, 0.1);
+            heat.record(now, ObjectId(1_000_000 + i), 0, 0.1);
             if i % 30 == 0 {
-                heat.saw(now, ObjectId(7), 0, 0.1);
+                heat.record(now, ObjectId(7), 0, 0.1);
             }
         }
         let share = heat.share(1060.0, ObjectId(7), 0, 0.1);
@@ -173,11 +175,11 @@
 
     #[test]
     fn it_runs_for_years() {
-        let mut heat = Heat::default();
+        let mut heat = PopularitySketch::default();
         for i in 0..100_000 {
             let now = 1.7e9 + f64::from(i) * 1000.0;
-            heat.saw(now, ObjectId(1), 0, 0.1);
-            heat.saw(now, ObjectId(1), 0, 0.1);
+            heat.record(now, ObjectId(1), 0, 0.1);
+            heat.record(now, ObjectId(1), 0, 0.1);
             assert!((0.4..=1.0).contains(&heat.share(now, ObjectId(1), 0, 0.1)), "step {i}");
         }
     }
--- a/src/spread/homes.rs
+++ b/src/spread/homes.rs
@@ -10,13 +10,13 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// A number from 0 to 1, both left out, drawn evenly by hash.
-pub fn unit(value: u64, seed: u64) -> f64 {
+pub fn unit_hash(value: u64, seed: u64) -> f64 {
     ((xxh3_64_with_seed(&value.to_le_bytes(), seed) >> 12) as f64 + 0.5) / (1u64 << 52) as f64
 }
 
 /// A cache that can take an attempt.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Home {
+pub struct WeightedCache {
     /// Who.
     pub node: NodeId,
     /// The size of its link beside those of the others; above 0.
@@ -25,23 +25,25 @@
 
 /// The caches in the order in which an object is at home with them.
 #[derive(Debug)]
-pub struct Homes {
-    order: Vec<(f64, Home)>,
+pub struct RendezvousOrder {
+    order: Vec<(f64, WeightedCache)>,
 }
 
-impl Homes {
+impl RendezvousOrder {
     /// The order of `object`, of which the first `count + 1` are wanted.
-    pub fn new(object: u64, count: usize, caches: impl Iterator<Item = Home>) -> Homes {
-        let score = |home: Home| (home.weight / -unit(home.node.0, object).ln(), home);
-        let mut order: Vec<(f64, Home)> = caches.map(score).collect();
-        let first = |a: &(f64, Home), b: &(f64, Home)| b.0.total_cmp(&a.0).then(b.1.node.cmp(&a.1.node));
+    pub fn new(object: u64, count: usize, caches: impl Iterator<Item = WeightedCache>) -> RendezvousOrder {
+        let score = |home: WeightedCache| (home.weight / -unit_hash(home.node.0, object).ln(), home);
+        let mut order: Vec<(f64, WeightedCache)> = caches.map(score).collect();
+        let first = |a: &(f64, WeightedCache), b: &(f64, WeightedCache)| {
+            b.0.total_cmp(&a.0).then(b.1.node.cmp(&a.1.node))
+        };
         let wanted = count + 1;
         if wanted < order.len() {
             order.select_nth_unstable_by(wanted - 1, first);
             order.truncate(wanted);
         }
         order.sort_unstable_by(first);
-        Homes { order }
+        RendezvousOrder { order }
     }
 
     /// Of the first `count` homes the one with the least load of this front's own, as `load` tells it per unit of
@@ -53,14 +55,14 @@
         }
         let homes = self.order.iter().take(count).map(|h| (load(h.1.node), h.1.node));
         let least = |a: &(f64, NodeId), b: &(f64, NodeId)| -> Ordering {
-            let own = |n: NodeId| unit(n.0, seed);
+            let own = |n: NodeId| unit_hash(n.0, seed);
             a.0.total_cmp(&b.0).then_with(|| own(a.1).total_cmp(&own(b.1)))
         };
         homes.min_by(least).map(|h| h.1)
     }
 
     /// The first home that is not this one.
-    pub fn other(&self, than: NodeId) -> Option<NodeId> {
+    pub fn first_except(&self, than: NodeId) -> Option<NodeId> {
         self.order.iter().map(|h| h.1.node).find(|&n| n != than)
     }
 }
@@ -70,8 +72,8 @@
     use super::*;
     use std::collections::BTreeMap;
 
-    fn caches(weights: &[f64]) -> Vec<Home> {
-        let one = |(i, &weight): (usize, &f64)| Home { node: NodeId(i as u64 * 7919 + 3), weight };
+    fn caches(weights: &[f64]) -> Vec<WeightedCache> {
+        let one = |(i, &weight): (usize, &f64)| WeightedCache { node: NodeId(i as u64 * 7919 + 3), weight };
         weights.iter().enumerate().map(one).collect()
     }
 
@@ -80,7 +82,9 @@
         let all = caches(&[1.0, 8.0, 2.0, 5.0]);
         let mut count = BTreeMap::new();
         for object in 0..16_000 {
-            *count.entry(Homes::new(object, 1, all.iter().copied()).pick(1, 5, |_| 0.0)).or_insert(0) += 1;
+            *count
+                .entry(RendezvousOrder::new(object, 1, all.iter().copied()).pick(1, 5, |_| 0.0))
+                .or_insert(0) += 1;
         }
         for cache in &all {
             let share = f64::from(count[&Some(cache.node)]) / 16_000.0 * 16.0;
@@ -92,9 +96,9 @@
     fn a_cache_that_goes_moves_only_its_own_objects() {
         let all = caches(&[4.0; 10]);
         for object in 0..500 {
-            let before = Homes::new(object, 1, all.iter().copied()).pick(1, 5, |_| 0.0);
+            let before = RendezvousOrder::new(object, 1, all.iter().copied()).pick(1, 5, |_| 0.0);
             let left = all.iter().copied().filter(|c| c.node != all[3].node);
-            let after = Homes::new(object, 1, left).pick(1, 5, |_| 0.0);
+            let after = RendezvousOrder::new(object, 1, left).pick(1, 5, |_| 0.0);
             assert!(before == after || before == Some(all[3].node), "object {object}");
         }
     }
@@ -103,18 +107,18 @@
     fn fronts_use_all_homes_of_a_hot_object_and_their_least_loaded_first() {
         let all = caches(&[4.0; 10]);
         let picks: Vec<_> = (0..200)
-            .map(|seed| Homes::new(9, 4, all.iter().copied()).pick(4, seed, |_| 0.0).unwrap())
+            .map(|seed| RendezvousOrder::new(9, 4, all.iter().copied()).pick(4, seed, |_| 0.0).unwrap())
             .collect();
         let used: std::collections::BTreeSet<_> = picks.iter().collect();
         assert_eq!(used.len(), 4, "each of the homes is somebody's");
         for node in used {
             assert!(picks.iter().filter(|&p| p == node).count() > 25, "and none is nearly left out");
         }
-        let homes = Homes::new(9, 4, all.iter().copied());
+        let homes = RendezvousOrder::new(9, 4, all.iter().copied());
         let first = homes.pick(1, 1, |_| 0.0).unwrap();
         let load = |n: NodeId| f64::from(u8::from(n != picks[0]));
         assert_eq!(homes.pick(4, 77, load), Some(picks[0]));
-        assert!(homes.other(first).is_some_and(|o| o != first));
-        assert_eq!(Homes::new(9, 4, [].into_iter()).pick(4, 77, |_| 0.0), None);
+        assert!(homes.first_except(first).is_some_and(|o| o != first));
+        assert_eq!(RendezvousOrder::new(9, 4, [].into_iter()).pick(4, 77, |_| 0.0), None);
     }
 }
--- a/src/spread/mod.rs
+++ b/src/spread/mod.rs
@@ -12,11 +12,11 @@
 
 /// The number of the rule by which objects have homes: fronts of one location that follow different ones would halve
 /// the hits, so that a build with another one is rolled out by whole locations.
-pub const HOMES: u32 = 2;
+pub const HOME_RULE_VERSION: u32 = 2;
 
-pub use cold::{Cold, SlowStartRequest};
-pub use heat::Heat;
-pub use homes::{Home, Homes, unit};
+pub use cold::{SlowStart, SlowStartRequest};
+pub use heat::PopularitySketch;
+pub use homes::{RendezvousOrder, WeightedCache, unit_hash};
 pub use reasons::{ReasonCounts, RoutingReason};
-pub use ring::Ring;
-pub use share::Share;
+pub use ring::ParentRing;
+pub use share::RecentWork;
--- a/src/spread/reasons.rs
+++ b/src/spread/reasons.rs
@@ -24,7 +24,7 @@
 
 impl RoutingReason {
     /// The first sign that holds, of a trial, a cold cache, spreading, nothing kept, heat and belief; else the hash.
-    pub fn first(signs: [bool; 6]) -> RoutingReason {
+    pub fn from_flags(signs: [bool; 6]) -> RoutingReason {
         let order = [
             RoutingReason::Trial,
             RoutingReason::Cold,
--- a/src/spread/ring.rs
+++ b/src/spread/ring.rs
@@ -9,21 +9,21 @@
 
 /// Parents, and those of the own hub among them.
 #[derive(Debug, Default)]
-pub struct Ring {
+pub struct ParentRing {
     all: Vec<(u64, NodeId)>,
     near: Vec<(u64, NodeId)>,
 }
 
-impl Ring {
+impl ParentRing {
     /// Of these parents; each is told with whether it is at the own hub.
-    pub fn new(parents: impl Iterator<Item = (NodeId, bool)>) -> Ring {
+    pub fn new(parents: impl Iterator<Item = (NodeId, bool)>) -> ParentRing {
         let points = |(p, near): (NodeId, bool)| {
             (0..POINTS).map(move |i| ((xxh3_64_with_seed(&p.0.to_le_bytes(), i), p), near))
         };
         let mut all: Vec<_> = parents.flat_map(points).collect();
         all.sort_unstable();
         let near = all.iter().filter(|p| p.1).map(|p| p.0).collect();
-        Ring { all: all.into_iter().map(|p| p.0).collect(), near }
+        ParentRing { all: all.into_iter().map(|p| p.0).collect(), near }
     }
 
     /// Are there none?
@@ -32,12 +32,12 @@
     }
 
     /// Parents, in the mean over the ring.
-    pub fn parents(&self) -> f64 {
+    pub fn parent_count(&self) -> f64 {
         self.all.len() as f64 / POINTS as f64
     }
 
     /// Are some at other hubs?
-    pub fn has_far(&self) -> bool {
+    pub fn spans_hubs(&self) -> bool {
         self.near.len() < self.all.len()
     }
 
--- a/src/spread/share.rs
+++ b/src/spread/share.rs
@@ -7,25 +7,25 @@
 
 /// The work that one cache was sent, in seconds of sending; it fades.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Share {
+pub struct RecentWork {
     work: f64,
     at: f64,
 }
 
-impl Share {
+impl RecentWork {
     /// A cache that comes new is given what the others have in the mean: one that begins with nothing would
     /// draw all that fronts are free to choose about.
-    pub fn level(now: f64, work: f64) -> Share {
-        Share { work, at: now }
+    pub fn new(now: f64, work: f64) -> RecentWork {
+        RecentWork { work, at: now }
     }
 
     /// So much was sent.
-    pub fn sent(&mut self, now: f64, work: f64) {
-        *self = Share { work: self.by(now) + work, at: now };
+    pub fn add(&mut self, now: f64, work: f64) {
+        *self = RecentWork { work: self.decayed(now) + work, at: now };
     }
 
     /// What is left of it by now.
-    pub fn by(&self, now: f64) -> f64 {
+    pub fn decayed(&self, now: f64) -> f64 {
         self.work * ((self.at - now) / MEMORY).exp()
     }
 }
--- a/src/state/succession.rs
+++ b/src/state/succession.rs
@@ -29,7 +29,7 @@
     }
 
     /// Notes that this process is the newest of the front, for the one that it replaces.
-    pub fn note(&mut self) {
+    pub fn register(&mut self) {
         if let Err(e) = self.try_note() {
             log!("cannot note this process in '{}': {e}", self.newest.display());
         }
@@ -51,7 +51,7 @@
 
     /// Does another process of the front serve beside this one, which was not told to end? One that has ended takes no
     /// clients, whatever it noted.
-    pub fn another_serves(&self) -> bool {
+    pub fn has_successor(&self) -> bool {
         let Ok(mut file) = File::open(&self.newest) else { return false };
         let mut newest = String::new();
         if file.read_to_string(&mut newest).is_err() {
@@ -65,7 +65,7 @@
     }
 
     /// This process is about to end: if it is the newest, none is noted any more.
-    pub fn withdraw(&mut self) {
+    pub fn unregister(&mut self) {
         if std::fs::read_to_string(&self.newest).is_ok_and(|newest| newest == self.name) {
             let _ = std::fs::remove_file(&self.newest);
             if self.noted_pid() == Some(std::process::id()) {
--- a/src/state/succession/tests.rs
+++ b/src/state/succession/tests.rs
@@ -15,7 +15,7 @@
     fn process(&self, name: &str) -> Succession {
         let mut process = Succession::new(&self.0.join("front.cordons"));
         process.name = name.to_owned();
-        process.note();
+        process.register();
         process
     }
 
@@ -38,12 +38,12 @@
 fn a_newer_process_is_a_successor_as_long_as_it_lives() {
     let folder = Folder::new("lives");
     let old = folder.process("old");
-    assert!(!old.another_serves(), "it is the newest itself");
+    assert!(!old.has_successor(), "it is the newest itself");
     let new = folder.process("new");
-    assert!(old.another_serves() && !new.another_serves());
+    assert!(old.has_successor() && !new.has_successor());
     // Killed: the system takes its lock back.
     drop(new);
-    assert!(!old.another_serves());
+    assert!(!old.has_successor());
 }
 
 #[test]
@@ -51,15 +51,15 @@
     let folder = Folder::new("withdraws");
     let mut old = folder.process("old");
     let mut new = folder.process("new");
-    old.withdraw();
-    assert!(!new.another_serves());
+    old.unregister();
+    assert!(!new.has_successor());
     let newer = folder.process("newer");
-    assert!(new.another_serves(), "what the oldest took back was its own");
+    assert!(new.has_successor(), "what the oldest took back was its own");
     drop(newer);
     let mut last = folder.process("last");
-    last.withdraw();
-    assert!(!new.another_serves());
-    new.withdraw();
+    last.unregister();
+    assert!(!new.has_successor());
+    new.unregister();
     assert_eq!(folder.files(), Vec::<String>::new());
 }
 
@@ -70,7 +70,7 @@
     drop(folder.process("killed"));
     let next = folder.process("next");
     assert_eq!(folder.files(), ["front.live", "front.newest"]);
-    assert!(lives.another_serves() && !next.another_serves());
+    assert!(lives.has_successor() && !next.has_successor());
 }
 
 /// A build before this one notes its pid alone.
@@ -80,13 +80,13 @@
     let old = folder.process("old");
     let other = std::os::unix::process::parent_id().to_string();
     std::fs::write(folder.0.join("front.live"), other).unwrap();
-    assert!(old.another_serves());
+    assert!(old.has_successor());
 }
 
 #[test]
 fn a_folder_that_cannot_be_written_names_nobody() {
     let mut process = Succession::new(Path::new("/nonexistent/front.cordons"));
-    process.note();
-    assert!(!process.another_serves());
-    process.withdraw();
+    process.register();
+    assert!(!process.has_successor());
+    process.unregister();
 }
--- a/src/state/worker.rs
+++ b/src/state/worker.rs
@@ -2,7 +2,7 @@
 //! hold up the thread that serves clients.
 
 use super::StateStore;
-use crate::membership::{Kept, OperatorOverride};
+use crate::membership::{OperatorOverride, SavedOverrides};
 use std::io;
 use tokio::sync::mpsc::{Receiver, Sender, channel};
 use tokio::sync::oneshot;
@@ -14,11 +14,11 @@
 /// File work that somebody waits for.
 enum Request {
     /// What the file says, if another process changed it.
-    Look { reply: oneshot::Sender<Option<Kept>> },
+    Look { reply: oneshot::Sender<Option<SavedOverrides>> },
     /// Carry out a call on the file alone, at this time (Unix seconds).
     Amend { hand: OperatorOverride, now: f64, reply: oneshot::Sender<io::Result<()>> },
     /// Write the state as it was after the call of this number.
-    Keep { number: u64, kept: Kept, reply: oneshot::Sender<io::Result<()>> },
+    Keep { number: u64, kept: SavedOverrides, reply: oneshot::Sender<io::Result<()>> },
 }
 
 /// The way to the task that owns the store.
@@ -35,16 +35,16 @@
     }
 
     /// What the file says, if that changed since this process last wrote or read it.
-    pub async fn look(&self) -> Option<Kept> {
+    pub async fn read_if_changed(&self) -> Option<SavedOverrides> {
         self.ask(|reply| Request::Look { reply }).await.ok().flatten()
     }
 
-    /// Carries out a call on the file alone ([`StateStore::amend`]).
+    /// Carries out a call on the file alone ([`StateStore::apply_override`]).
     ///
     /// # Errors
     ///
     /// The file cannot be read or written, or the worker has ended.
-    pub async fn amend(&self, hand: OperatorOverride, now: f64) -> io::Result<()> {
+    pub async fn apply_override(&self, hand: OperatorOverride, now: f64) -> io::Result<()> {
         self.ask(|reply| Request::Amend { hand, now, reply }).await.unwrap_or_else(Err)
     }
 
@@ -53,7 +53,7 @@
     /// # Errors
     ///
     /// The file cannot be written, or the worker has ended.
-    pub async fn keep(&self, number: u64, kept: Kept) -> io::Result<()> {
+    pub async fn write(&self, number: u64, kept: SavedOverrides) -> io::Result<()> {
         self.ask(|reply| Request::Keep { number, kept, reply }).await.unwrap_or_else(Err)
     }
 
@@ -77,17 +77,17 @@
     fn carry_out(&mut self, request: Request) {
         // Nobody may wait for an answer any more; the work is done all the same.
         match request {
-            Request::Look { reply } => drop(reply.send(self.store.look())),
-            Request::Amend { hand, now, reply } => drop(reply.send(self.store.amend(hand, now))),
-            Request::Keep { number, kept, reply } => drop(reply.send(self.keep(number, &kept))),
+            Request::Look { reply } => drop(reply.send(self.store.read_if_changed())),
+            Request::Amend { hand, now, reply } => drop(reply.send(self.store.apply_override(hand, now))),
+            Request::Keep { number, kept, reply } => drop(reply.send(self.write(number, &kept))),
         }
     }
 
-    fn keep(&mut self, number: u64, kept: &Kept) -> io::Result<()> {
+    fn write(&mut self, number: u64, kept: &SavedOverrides) -> io::Result<()> {
         if number <= self.last_number {
             return Ok(());
         }
-        self.store.keep(kept)?;
+        self.store.write(kept)?;
         self.last_number = number;
         Ok(())
     }
--- a/src/turns.rs
+++ b/src/turns.rs
@@ -211,7 +211,7 @@
 }
 
 /// Runs a task whose polls are counted for its kind.
-pub async fn measured<F: Future>(kind: TaskKind, future: F) -> F::Output {
+pub async fn track_polls<F: Future>(kind: TaskKind, future: F) -> F::Output {
     let mut future = pin!(future);
     poll_fn(|context| {
         let polled = future.as_mut().poll(context);
--- a/src/turns/tests.rs
+++ b/src/turns/tests.rs
@@ -51,7 +51,7 @@
         tokio::task::yield_now().await;
     };
     runtime().unwrap().block_on(async {
-        measured(TaskKind::Broker, busy).await;
+        track_polls(TaskKind::Broker, busy).await;
         // The turn ends as the thread waits.
         tokio::time::sleep(Duration::from_millis(1)).await;
     });
--- a/src/watch/tests.rs
+++ b/src/watch/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of `watch.rs`.
 
 use super::{HeapPages, sample};
-use crate::memory::{AccountLimits, Ledger, PURPOSES, Plan, Purpose};
+use crate::memory::{Ledger, LimitOverrides, PURPOSES, Plan, Purpose};
 use std::cell::Cell;
 
 /// What the allocator returns to the system between two readings is not counted as the program's, which would refuse
@@ -9,7 +9,7 @@
 #[test]
 fn pages_returned_during_a_look_are_not_taken_for_the_programs_own() {
     const FREED: usize = 2_000_000;
-    let plan = Plan::new(32_000_000, &[AccountLimits::default(); PURPOSES], 1.0).unwrap();
+    let plan = Plan::new(32_000_000, &[LimitOverrides::default(); PURPOSES], 1.0).unwrap();
     let ledger = Ledger::new(plan, 0);
     let pages = HeapPages { active: 1_000_000, resident: 5_000_000 };
     let program = 8_000_000;
--- a/src/xds.rs
+++ b/src/xds.rs
@@ -1,10 +1,10 @@
 //! Discovery in xDS form: Envoy's v3 clusters and endpoints, polled as JSON over REST, into the core's node
 //! list. An update that cannot be used is rejected whole, the last good one stays, and the server is told.
 
-use crate::broker::{Member, News};
+use crate::broker::{DiscoveryUpdate, Member};
 use crate::interface::*;
 use crate::memory::{AccountOwner, Ledger, Purpose};
-use crate::net::{Buffer, Live};
+use crate::net::{Buffer, Reloadable};
 use crate::signed::http;
 use crate::{clock, log};
 use serde_json::{Map, Value, json};
@@ -247,10 +247,10 @@
 
 /// Polls a discovery server for ever.
 pub async fn follow(
-    server: Rc<Live<(SocketAddr, f64)>>,
+    server: Rc<Reloadable<(SocketAddr, f64)>>,
     node: String,
     names: Names,
-    news: UnboundedSender<News>,
+    news: UnboundedSender<DiscoveryUpdate>,
     memory: Ledger,
 ) {
     let mut world = World::new(names.clone());
@@ -282,7 +282,7 @@
             && !members.is_empty()
         {
             told = Some(members.clone());
-            if news.send(News::Roster { full: true, members }).is_err() {
+            if news.send(DiscoveryUpdate::NodeList { full: true, members }).is_err() {
                 return;
             }
         }
@@ -349,7 +349,10 @@
     let stream = timeout_at(by, TcpStream::connect(server)).await.map_err(late)??;
     stream.set_nodelay(true)?;
     let buffer = || {
-        Buffer::new(OWN, memory.empty(AccountOwner { precious: true, ..AccountOwner::of(Purpose::Learned) }))
+        Buffer::new(
+            OWN,
+            memory.empty_grant(AccountOwner { may_use_reserve: true, ..AccountOwner::of(Purpose::Learned) }),
+        )
     };
     let (mut out, mut input) = (buffer(), buffer());
     let length = body.len();
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -106,7 +106,8 @@
         // Its own transfers and those that it takes its peers to have come to the same.
         let link = 20_000.0 * f64::from(peers);
         let here = Settings { directors: peers, directors_by_zone: vec![0, 0, peers], ..settings() };
-        let mut s = Stage::new(Settings { zone_link_kb_per_s: vec![0.0, 0.0, link], ..here }, &small_fleet()[..2]);
+        let mut s =
+            Stage::new(Settings { zone_link_kb_per_s: vec![0.0, 0.0, link], ..here }, &small_fleet()[..2]);
         s.list(ListKind::Delta, &[parent(20), origin(30)]);
         s.patience = 60.0;
         let mut sizes = (0..).map(|i| 100.0 * 1.1f64.powi(i));
@@ -129,7 +130,8 @@
     let fresh: Vec<Node> = (0..6)
         .map(|i| Node { weight: link, ready_at: 101.0 + f64::from(i), ..edge(40 + i as u64) })
         .collect();
-    let here = Settings { weights_are_link_sizes: true, directors_by_zone: vec![0, 0, DIRECTORS], ..settings() };
+    let here =
+        Settings { weights_are_link_sizes: true, directors_by_zone: vec![0, 0, DIRECTORS], ..settings() };
     let mut sends: Vec<(u64, f64)> = Vec::new();
     let mut refusals = 0;
     for (me, mut s) in directors(&here, &all).into_iter().enumerate() {
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -2,14 +2,14 @@
 
 #[test]
 fn the_module_is_short_enough_to_read_aloud_and_alone() {
-    let brain = include_str!("../src/brain.rs");
-    let lines = brain.lines().filter(|l| !l.trim().is_empty()).count();
+    let director = include_str!("../src/director.rs");
+    let lines = director.lines().filter(|l| !l.trim().is_empty()).count();
     assert!(lines <= 940, "{lines} lines that are not blank");
-    let widest = brain.lines().map(|l| l.chars().count()).max().unwrap_or(0);
+    let widest = director.lines().map(|l| l.chars().count()).max().unwrap_or(0);
     assert!(widest <= 110, "a line of {widest} characters");
-    let head: String = brain.lines().take(5).collect();
+    let head: String = director.lines().take(5).collect();
     assert!(head.contains("src/interface.rs"), "the head names the interface");
     let deploy = include_str!("../deploy/balancer.toml");
     let policy = deploy.lines().find(|l| l.starts_with("policy")).unwrap_or("");
-    assert_eq!(policy.split_once('=').map(|p| p.1.trim()), Some(r#"["src/brain.rs"]"#));
+    assert_eq!(policy.split_once('=').map(|p| p.1.trim()), Some(r#"["src/director.rs"]"#));
 }
--- a/tests/operate.rs
+++ b/tests/operate.rs
@@ -71,7 +71,7 @@
     let (node, _served, admin) = front("operate-version");
     let said = call(admin, "version");
     let words: Vec<&str> = said.split_whitespace().collect();
-    let program = onyxyoke::net::admin::build(env!("CARGO_BIN_EXE_onyxyoke").as_ref()).unwrap();
+    let program = onyxyoke::net::admin::program_digest(env!("CARGO_BIN_EXE_onyxyoke").as_ref()).unwrap();
     assert_eq!(words[..2], ["ok", &format!("build={program:016x}")], "{said}");
     let file = std::fs::read(node.folder.join("config.json")).unwrap();
     let settings = onyxyoke::config::read(Some(("config", &file)), None).unwrap().loaded.digest();
--- a/tests/policy/admission.rs
+++ b/tests/policy/admission.rs
@@ -20,7 +20,11 @@
 #[test]
 fn a_wide_link_is_known_by_its_weight_from_the_start() {
     let refused_of_20 = |weight| {
-        let settings = Settings { weights_are_link_sizes: true, zone_link_kb_per_s: vec![0.0, 0.0, 60_000.0], ..settings() };
+        let settings = Settings {
+            weights_are_link_sizes: true,
+            zone_link_kb_per_s: vec![0.0, 0.0, 60_000.0],
+            ..settings()
+        };
         let cache = Node { weight, ..edge(10) };
         let mut s = Stage::new(settings, &[cache, parent(20), origin(30)]);
         (1..=20).filter(|&o| refused(&s.ask(o, 800.0).1)).count()
@@ -97,8 +101,10 @@
 #[test]
 fn where_sizes_are_untold_the_first_hits_tell_pages_from_films() {
     // ibf0141: pages were taken for a third of a second of sending, and refused, until many hits had come.
-    let mut s =
-        Stage::new(Settings { zone_link_kb_per_s: Vec::new(), ..settings() }, &[edge(10), parent(20), origin(30)]);
+    let mut s = Stage::new(
+        Settings { zone_link_kb_per_s: Vec::new(), ..settings() },
+        &[edge(10), parent(20), origin(30)],
+    );
     for object in 1..4 {
         let x = s.fetch(object, 0.0);
         s.end(x, 0, Outcome::Ok, Note::Hit, 0.05);
