--- a/src/director.rs
+++ b/src/director.rs
@@ -199,7 +199,7 @@
     /// Smoothed extra latency of a fill from a sibling.
     sibling_latency: f64,
     /// The link into the zone with its fills, and the two tiers: the zone's edge caches and all parents.
-    zone_link_kb_per_s: SharedLink,
+    inbound_link: SharedLink,
     edge_links: SharedLink,
     parent_links: SharedLink,
     last_answer: f64,
@@ -212,7 +212,7 @@
         let zone = usize::from(settings.own_zone.0);
         let rate = settings.zone_link_kb_per_s.get(zone).filter(|&&rate| rate > 0.0);
         let rate = rate.filter(|_| settings.answer_kb_per_s > 0.0);
-        let zone_link_kb_per_s = rate.map(|rate| rate / settings.answer_kb_per_s);
+        let inbound_link = rate.map(|rate| rate / settings.answer_kb_per_s);
         let class_work = vec![INITIAL_WORK; settings.classes.len()];
         Director {
             settings,
@@ -236,10 +236,7 @@
             answers_lost: FadingCount::default(),
             answers_received: FadingCount::default(),
             sibling_latency: INITIAL_LATENCY,
-            zone_link_kb_per_s: SharedLink::new(
-                zone_link_kb_per_s.unwrap_or(0.0),
-                zone_link_kb_per_s.is_some(),
-            ),
+            inbound_link: SharedLink::new(inbound_link.unwrap_or(0.0), inbound_link.is_some()),
             edge_links: SharedLink::new(INITIAL_CACHE_LINK, false),
             parent_links: SharedLink::default(),
             last_answer: 0.0,
@@ -348,13 +345,13 @@
 
     /// Returns the expected slowdown of one more fill over the zone's link.
     fn zone_slowdown(&self) -> f64 {
-        ((self.zone_transfers() + 1.0) / self.zone_link_kb_per_s.capacity.max(1.0)).max(1.0)
+        ((self.zone_transfers() + 1.0) / self.inbound_link.capacity.max(1.0)).max(1.0)
     }
 
     /// Returns the fills of all directors over the zone's link.
     fn zone_transfers(&self) -> f64 {
-        self.zone_link_kb_per_s.in_flight
-            + (self.settings.own_zone_directors() - 1.0) * self.zone_link_kb_per_s.mean_per_peer()
+        self.inbound_link.in_flight
+            + (self.settings.own_zone_directors() - 1.0) * self.inbound_link.mean_per_peer()
     }
 
     // ---- The list of nodes ----
@@ -405,8 +402,8 @@
                 self.edge_links.capacity = mean;
             }
         }
-        if self.zone_link_kb_per_s.capacity == 0.0 {
-            self.zone_link_kb_per_s.capacity = INITIAL_ZONE_LINK * self.edges.len() as f64;
+        if self.inbound_link.capacity == 0.0 {
+            self.inbound_link.capacity = INITIAL_ZONE_LINK * self.edges.len() as f64;
         }
     }
 
@@ -640,7 +637,7 @@
             }
         }
         if !choice.sibling {
-            self.zone_link_kb_per_s.count(now, step * choice.absent, done * choice.absent);
+            self.inbound_link.count(now, step * choice.absent, done * choice.absent);
         }
     }
 
@@ -779,7 +776,7 @@
             k.pace.record(now, transfer, work * crowding);
             let extra = end.took - expected - work * (zone_slowdown - slowdown).max(0.0);
             if !sibling && slowdown < FULL_LINK_SLOWDOWN && end.source_wait > 0.0 {
-                self.zone_link_kb_per_s.learn(transfer.max(0.0), work, attempt.zone_load);
+                self.inbound_link.learn(transfer.max(0.0), work, attempt.zone_load);
             }
             if sibling {
                 smooth(&mut self.sibling_latency, extra, OUTCOME_WEIGHT);
