--- a/src/director.rs
+++ b/src/director.rs
@@ -3,7 +3,10 @@
 //! answer at full pace, in seconds.
 
 use crate::interface::*;
-use crate::routing::*;
+use crate::routing::{
+    Beliefs, CachePace, Exclusion, FULL_LINK_SLOWDOWN, FadingCount, FrontStalls, HOLDER_COUNTS, NodeStalls,
+    Purges, RECHECK_DELAY, SharedLink, SizeFairness, fade, smooth,
+};
 use crate::spread::*;
 use rustc_hash::FxHashMap;
 use std::collections::{BTreeMap, VecDeque};
@@ -314,33 +317,33 @@
 
     /// Returns the transfers of all directors at one cache. Clients are spread over a zone's directors: each
     /// peer is taken to have the mean of this one, which sees too little of a single cache to go by.
-    fn transfers(&self, k: &NodeRecord) -> f64 {
-        k.in_flight
-            + (self.settings.own_zone_directors() - 1.0) * self.edge_links.mean_per_peer() * k.size
+    fn transfers(&self, node: &NodeRecord) -> f64 {
+        node.in_flight
+            + (self.settings.own_zone_directors() - 1.0) * self.edge_links.mean_per_peer() * node.size
                 / self.edges.len().max(1) as f64
     }
 
     /// Returns the expected slowdown of one more transfer from a cache.
-    fn slowdown(&self, k: &NodeRecord) -> f64 {
-        self.crowding(k) * self.relative_pace(k)
+    fn slowdown(&self, node: &NodeRecord) -> f64 {
+        self.crowding(node) * self.relative_pace(node)
     }
 
     /// Returns the slowdown expected of a cache, and the part of it that its load explains.
     fn slowdown_and_crowding(&self, id: NodeId) -> Option<(f64, f64)> {
-        let k = self.nodes.get(&id)?;
-        let crowding = self.crowding(k);
-        Some((crowding * self.relative_pace(k), crowding))
+        let node = self.nodes.get(&id)?;
+        let crowding = self.crowding(node);
+        Some((crowding * self.relative_pace(node), crowding))
     }
 
-    fn crowding(&self, k: &NodeRecord) -> f64 {
-        ((self.transfers(k) + k.size) / (self.edge_links.capacity * k.size)).max(1.0)
+    fn crowding(&self, node: &NodeRecord) -> f64 {
+        ((self.transfers(node) + node.size) / (self.edge_links.capacity * node.size)).max(1.0)
     }
 
     /// Returns how much slower a cache is than the others of its zone, beyond what its load explains. A front
     /// sees few answers of each, so that sums are compared; they fade, and a slow cache is tried again.
-    fn relative_pace(&self, k: &NodeRecord) -> f64 {
-        let others = self.edges.iter().filter(|e| **e != k.info.id).map(|e| &self.nodes[e].pace);
-        k.pace.relative_to(self.now, others)
+    fn relative_pace(&self, node: &NodeRecord) -> f64 {
+        let others = self.edges.iter().filter(|e| **e != node.info.id).map(|e| &self.nodes[e].pace);
+        node.pace.relative_to(self.now, others)
     }
 
     /// Returns the expected slowdown of one more fill over the zone's link.
@@ -371,13 +374,13 @@
         let me = self.settings.director_number;
         for info in nodes {
             let new = || NodeRecord { recent_work, ..NodeRecord::new(*info, me) };
-            let k = self.nodes.entry(info.id).or_insert_with(new);
-            if k.info.ready_at != info.ready_at {
+            let node = self.nodes.entry(info.id).or_insert_with(new);
+            if node.info.ready_at != info.ready_at {
                 // It was restarted: its cache is empty, and its process has nothing of the old one's record.
-                *k = NodeRecord { in_flight: k.in_flight, ..new() };
+                *node = NodeRecord { in_flight: node.in_flight, ..new() };
             }
-            k.info = *info;
-            k.listed = info.state == NodeState::Ready;
+            node.info = *info;
+            node.listed = info.state == NodeState::Ready;
         }
         // Nodes that left are forgotten once no belief and no attempt can name them.
         self.nodes.values_mut().filter(|k| k.listed).for_each(|k| k.last_listed = now);
@@ -463,19 +466,19 @@
         let takers: Vec<NodeId> = self.edges.iter().copied().filter(takes).collect();
         // The rendezvous order is the same at all directors of a zone. A hot object has several homes, and
         // what leaves no copy has all.
-        let count = match uncacheable {
+        let home_count = match uncacheable {
             true => takers.len(),
             false => self.popularity.home_count(now, request.object, request.part, work, self.edges.len()),
         };
         let start = SlowStart::from_settings(&self.settings, false);
         let home = |&node: &NodeId| WeightedCache { node, weight: self.nodes[&node].size };
-        let homes = RendezvousOrder::new(request.object.0, count, takers.iter().map(home));
+        let homes = RendezvousOrder::new(request.object.0, home_count, takers.iter().map(home));
         let seed = request.object.0 ^ u64::from(self.settings.director_number) << 48;
-        let hashed = homes.pick(count, seed, |home| self.relative_load(now, &start, home));
+        let hashed = homes.pick(home_count, seed, |home| self.relative_load(now, &start, home));
         let holders = self.holders(now, &request);
-        let n = holders.len().min(HOLDER_COUNTS - 1);
+        let holder_count = holders.len().min(HOLDER_COUNTS - 1);
         // A hot object is at all its homes, whichever of them this director saw it at.
-        let believed = holders.iter().copied().filter(|h| count == 1 && takers.contains(h));
+        let believed = holders.iter().copied().filter(|h| home_count == 1 && takers.contains(h));
         let with_slowdown = |n: NodeId| (n, self.slowdown(&self.nodes[&n]));
         let mut candidates: Vec<(NodeId, f64)> = believed.map(with_slowdown).collect();
         let among = |all: &[(NodeId, f64)], n: NodeId| all.iter().any(|c| c.0 == n);
@@ -494,16 +497,23 @@
         let mut best: Option<Choice> = None;
         for &(node, slowdown) in &candidates {
             let believed = holders.contains(&node);
-            let k = &self.nodes[&node];
-            let access = k.latency + work * slowdown;
-            let cold = start.capacity_share(now, k.info.ready_at) < 1.0;
+            let record = &self.nodes[&node];
+            let access = record.latency + work * slowdown;
+            let cold = start.capacity_share(now, record.info.ready_at) < 1.0;
             let spread = Some(node) != hashed && !believed;
-            let flags = [k.ejected.is_some(), cold, spread, uncacheable, count > 1, believed];
+            let flags = [record.ejected.is_some(), cold, spread, uncacheable, home_count > 1, believed];
             let reason = RoutingReason::from_flags(flags);
-            let absent = self.exclusion.probability(believed, n);
+            let absent = self.exclusion.probability(believed, holder_count);
             let miss_latency = access + penalty;
-            let base =
-                Choice { holders: n, believed, absent, reason, slowdown, miss_latency, ..Choice::default() };
+            let base = Choice {
+                holders: holder_count,
+                believed,
+                absent,
+                reason,
+                slowdown,
+                miss_latency,
+                ..Choice::default()
+            };
             let from_upper = upper.or((believed && !uncacheable).then_some(node)).map(|source| {
                 (source, false, access + penalty * absent, access + if believed { 0.0 } else { penalty })
             });
@@ -511,7 +521,8 @@
             let from_siblings = siblings.map(|s| {
                 let pace = self.relative_pace(&self.nodes[s]);
                 let latency = access + self.sibling_latency + work * (pace - 1.0);
-                (*s, true, latency + penalty * absent * self.exclusion.probability(true, n), latency)
+                let cost = latency + penalty * absent * self.exclusion.probability(true, holder_count);
+                (*s, true, cost, latency)
             });
             for (source, sibling, cost, latency) in from_upper.into_iter().chain(from_siblings) {
                 if best.is_none_or(|b| cost < b.cost) {
@@ -538,11 +549,11 @@
             if draw >= OWN_HUB_DRAWS && best.is_some() && !far || self.parents.is_empty() {
                 break;
             }
-            let p = self.parents.draw(open.request.object.0, draw, draw < OWN_HUB_DRAWS);
+            let parent = self.parents.draw(open.request.object.0, draw, draw < OWN_HUB_DRAWS);
             let penalty = if far { FAR_HUB_PENALTY } else { 0.0 };
-            let better = best.is_none_or(|b| latency(p) + penalty < latency(b));
-            if better && self.is_usable(now, open, p, mean_work) {
-                best = Some(p);
+            let better = best.is_none_or(|b| latency(parent) + penalty < latency(b));
+            if better && self.is_usable(now, open, parent, mean_work) {
+                best = Some(parent);
             }
         }
         best.or_else(|| self.origin.filter(|&o| self.is_usable(now, open, o, mean_work)))
@@ -569,7 +580,8 @@
         let peers = self.settings.own_zone_directors() - 1.0;
         let admit = admit * (1.0 - PEER_UNCERTAINTY * (peers / UNCERTAIN_PEERS).min(1.0));
         // Nor is it worth a full link if the client will not wait. Some of each size are sent all the same.
-        let (patience, class) = (open.request.expires - open.arrived_at, usize::from(open.request.class.0));
+        let patience = open.request.expires - open.arrived_at;
+        let class = usize::from(open.request.class.0);
         let limit = (admit * aim).min(patience);
         let late = full > 1.0 && spent + choice.latency > limit && self.may_refuse(open);
         let in_time = spent + work * choice.slowdown < patience;
@@ -755,10 +767,10 @@
         self.beliefs.believe(now, request.object, request.part, node, attempt.sent_at);
         let zone_slowdown = self.zone_slowdown();
         let Some((slowdown, crowding)) = self.slowdown_and_crowding(node) else { return };
-        let Some(k) = self.nodes.get_mut(&node) else { return };
-        let expected = k.latency + work * slowdown;
+        let Some(record) = self.nodes.get_mut(&node) else { return };
+        let expected = record.latency + work * slowdown;
         let class = usize::from(request.class.0);
-        let transfer = end.took - end.source_wait - k.latency;
+        let transfer = end.took - end.source_wait - record.latency;
         if request.kb == 0.0 && (hit || self.settings.classes[class].uncacheable) {
             // The plain mean at first: an initial guess that fades slowly makes pages look like films
             // (ibf0141), and does so for good for what is uncacheable, which has no hits (grand-large).
@@ -767,24 +779,24 @@
             smooth(&mut self.class_work[class], transfer.max(0.0) / slowdown, weight);
         }
         if hit {
-            let transfer = (end.took - k.latency).max(0.0);
-            k.pace.record(now, transfer, work * crowding);
+            let transfer = (end.took - record.latency).max(0.0);
+            record.pace.record(now, transfer, work * crowding);
             self.edge_links.learn(transfer, work, attempt.node_load);
             // Signed: where sizes are unknown the mean is right though each one is not.
-            smooth(&mut k.latency, (end.took - work * slowdown).clamp(-0.5, 0.5), OUTCOME_WEIGHT);
+            smooth(&mut record.latency, (end.took - work * slowdown).clamp(-0.5, 0.5), OUTCOME_WEIGHT);
         } else if filled {
-            k.pace.record(now, transfer, work * crowding);
+            record.pace.record(now, transfer, work * crowding);
             let extra = end.took - expected - work * (zone_slowdown - slowdown).max(0.0);
             if !sibling && slowdown < FULL_LINK_SLOWDOWN && end.source_wait > 0.0 {
                 self.inbound_link.learn(transfer.max(0.0), work, attempt.zone_load);
             }
             if sibling {
                 smooth(&mut self.sibling_latency, extra, OUTCOME_WEIGHT);
-            } else if let Some(s) = self.nodes.get_mut(&source) {
-                let weight = FILL_WEIGHT.max(MAX_FILL_WEIGHT.min(1.0 - fade(s.latency_at, now)));
-                (s.latency, s.latency_at) = (s.fill_latency(now), now);
-                s.pace.record(now, transfer, work * slowdown.max(zone_slowdown));
-                smooth(&mut s.latency, extra / (work + FILL_BASE_TIME), weight);
+            } else if let Some(upper) = self.nodes.get_mut(&source) {
+                let weight = FILL_WEIGHT.max(MAX_FILL_WEIGHT.min(1.0 - fade(upper.latency_at, now)));
+                (upper.latency, upper.latency_at) = (upper.fill_latency(now), now);
+                upper.pace.record(now, transfer, work * slowdown.max(zone_slowdown));
+                smooth(&mut upper.latency, extra / (work + FILL_BASE_TIME), weight);
             }
         }
     }
@@ -836,12 +848,12 @@
             Outcome::Error | Outcome::TimedOut | Outcome::Cancelled => (node, false),
         };
         let reset = end.outcome == Outcome::Reset;
-        let Some(k) = self.nodes.get_mut(&culprit) else { return Some(culprit) };
-        k.consecutive_failures += u32::from(!reset || now - k.last_reset > RESET_WINDOW);
-        k.last_reset = if reset { now } else { k.last_reset };
-        let eject = proof || k.consecutive_failures >= EJECTION_FAILURES;
+        let Some(record) = self.nodes.get_mut(&culprit) else { return Some(culprit) };
+        record.consecutive_failures += u32::from(!reset || now - record.last_reset > RESET_WINDOW);
+        record.last_reset = if reset { now } else { record.last_reset };
+        let eject = proof || record.consecutive_failures >= EJECTION_FAILURES;
         if eject {
-            k.eject(now);
+            record.eject(now);
         }
         Some(culprit).filter(|_| eject || !reset)
     }
@@ -869,21 +881,22 @@
         let Some(open) = self.open.get(&id).filter(|p| !p.done) else { return };
         let class = usize::from(open.request.class.0);
         let attempt = open.attempts.get(number);
-        let Some(&a) = attempt.filter(|a| a.in_flight && !a.streaming && !a.cancelled) else { return };
-        self.stalls.record_timer(a.check_at);
+        let Some(&attempt) = attempt.filter(|a| a.in_flight && !a.streaming && !a.cancelled) else { return };
+        self.stalls.record_timer(attempt.check_at);
         // Silence counts against a node only if others answered meanwhile: otherwise everything stalls.
-        let Choice { node, source, believed, .. } = a.choice;
-        let others = self.last_answer > a.sent_at;
-        let silent = |id| others && self.nodes.get(&id).is_some_and(|k| k.stalls.last_answer() <= a.sent_at);
+        let Choice { node, source, believed, .. } = attempt.choice;
+        let others = self.last_answer > attempt.sent_at;
+        let silent =
+            |id| others && self.nodes.get(&id).is_some_and(|k| k.stalls.last_answer() <= attempt.sent_at);
         let suspects = [Some(node), Some(source).filter(|_| !believed)];
-        let patient_until = a.sent_at + PATIENCE_FACTOR * a.choice.latency + PATIENCE_MARGIN;
+        let patient_until = attempt.sent_at + PATIENCE_FACTOR * attempt.choice.latency + PATIENCE_MARGIN;
         let overdue = now + TIMER_TOLERANCE > patient_until;
         let culprit = suspects.into_iter().flatten().find(|&id| overdue && silent(id));
         // An answer is lost if nothing of it came while the node answers later attempts: no node is at fault,
         // and the request is sent again.
-        let due = a.sent_at + self.lost_after(now, &a.choice, number);
+        let due = attempt.sent_at + self.lost_after(now, &attempt.choice, number);
         let lost = now + TIMER_TOLERANCE > due
-            && self.nodes.get(&node).is_some_and(|k| k.newest_answered > a.sent_at);
+            && self.nodes.get(&node).is_some_and(|k| k.newest_answered > attempt.sent_at);
         if culprit.is_none() && !lost {
             let times = [due, patient_until].into_iter().filter(|&at| at > now + TIMER_TOLERANCE);
             let after = times.reduce(f64::min).map_or(RECHECK_DELAY, |at| at - now);
@@ -891,7 +904,7 @@
         }
         // Answers that a stall held up arrive together after it: one that is late then is no sign of a fault.
         let after = self.caught_up_at(node, if lost { due } else { patient_until }) - now;
-        if after > TIMER_TOLERANCE && a.deferrals < MAX_DEFERRALS {
+        if after > TIMER_TOLERANCE && attempt.deferrals < MAX_DEFERRALS {
             if let Some(open) = self.open.get_mut(&id) {
                 open.attempts[number].deferrals += 1;
             }
@@ -905,7 +918,7 @@
         let work = self.work(&self.open[&id].request);
         let loaded = self.slowdown_and_crowding(node);
         if let Some((k, (slowdown, crowding))) = self.nodes.get_mut(&node).zip(loaded) {
-            let transfer = now - a.sent_at - (a.choice.latency - work * slowdown).max(0.0);
+            let transfer = now - attempt.sent_at - (attempt.choice.latency - work * slowdown).max(0.0);
             k.pace.record(now, transfer, work * crowding);
         }
         // Where only one attempt may be in flight, the next is sent when the cancelled one has ended.
@@ -934,17 +947,18 @@
 
     /// Returns the recent work of a cache per unit of its link, of which a cold one has only a share yet.
     fn relative_load(&self, now: f64, start: &SlowStart, id: NodeId) -> f64 {
-        let k = &self.nodes[&id];
-        k.recent_work.decayed(now) / (k.size * start.capacity_share(now, k.info.ready_at).max(0.01))
+        let record = &self.nodes[&id];
+        record.recent_work.decayed(now)
+            / (record.size * start.capacity_share(now, record.info.ready_at).max(0.01))
     }
 
     /// Returns whether a cold node's budget admits this much more work. What the nodes of its tier carry in
     /// the mean, for all directors together, stands in for its link where that is unknown.
-    fn has_budget(&self, now: f64, k: &NodeRecord, work: f64) -> bool {
-        let s = &self.settings;
-        let parent = Some(k.info.kind) == s.parent_kind;
-        let start = SlowStart::from_settings(s, parent);
-        let ready_at = k.info.ready_at;
+    fn has_budget(&self, now: f64, node: &NodeRecord, work: f64) -> bool {
+        let settings = &self.settings;
+        let parent = Some(node.info.kind) == settings.parent_kind;
+        let start = SlowStart::from_settings(settings, parent);
+        let ready_at = node.info.ready_at;
         if start.capacity_share(now, ready_at) >= 1.0 {
             return true;
         }
@@ -958,10 +972,10 @@
             (mean_load, self.popularity.rate(now).max(recent_rate) / takers)
         };
         let estimate = (start.sharers * mean_load).max(MIN_COLD_LINK);
-        let link = if s.weights_are_link_sizes { k.info.weight } else { estimate };
-        let recent = k.warming_work.iter().filter(|x| x.0 + s.overload_window > now);
+        let link = if settings.weights_are_link_sizes { node.info.weight } else { estimate };
+        let recent = node.warming_work.iter().filter(|x| x.0 + settings.overload_window > now);
         let recent_work = recent.map(|x| x.1).sum();
-        let seed = k.info.id.0 ^ u64::from(s.director_number) << 32;
+        let seed = node.info.id.0 ^ u64::from(settings.director_number) << 32;
         start.admits(SlowStartRequest { now, ready_at, link, work, recent_work, rate, seed })
     }
 }
