--- a/src/director.rs
+++ b/src/director.rs
@@ -59,10 +59,13 @@
 /// An attempt is checked after this multiple of its expected latency, plus this margin (seconds).
 const PATIENCE_FACTOR: f64 = 2.0;
 const PATIENCE_MARGIN: f64 = 0.3;
-/// An answer may be lost after this multiple of a miss's latency, plus this margin (seconds): where a link is
-/// full; where none is (none of 13,000 good answers took so long); and at a first attempt while answers get
-/// lost, where a believed holder is measured by the latency of a hit (0.1 to 0.3% of good ones take so long).
-const LOST_AFTER: [(f64, f64); 3] = [(2.0, 0.3), (1.5, 0.1), (1.25, 0.08)];
+/// When an answer may be lost, where a link is full.
+const LOST_ON_FULL_LINK: LossTimeout = LossTimeout { factor: 2.0, margin: 0.3 };
+/// When an answer may be lost, where no link is full: none of 13,000 good answers took so long.
+const LOST_ON_FREE_LINK: LossTimeout = LossTimeout { factor: 1.5, margin: 0.1 };
+/// When the answer to a first attempt may be lost while answers get lost and no link is full. A believed
+/// holder is expected to have the latency of a hit; 0.1 to 0.3% of good answers take so long.
+const LOST_WHILE_LOSING: LossTimeout = LossTimeout { factor: 1.25, margin: 0.08 };
 /// Most deferrals of a verdict for answers that a stall held up: no lost answer waits for ever.
 const MAX_DEFERRALS: u8 = 3;
 /// Answers count as getting lost where more than this share of the recent ones was.
@@ -81,7 +84,7 @@
 /// A parent of another hub is used where those of the own are slower by this (in fill latency): all fronts of
 /// a hub that has few parents left depend on the same ones.
 const FAR_HUB_PENALTY: f64 = 0.2;
-/// Fills may ask this multiple of what the origin answers of it; more only while it answers.
+/// While the origin fails, it is asked for at most this multiple of what it answers.
 const ORIGIN_HEADROOM: f64 = 2.0;
 /// A node that is not listed is forgotten after this (seconds): longer than a belief or an attempt lasts.
 const NODE_RETENTION: f64 = 2.0 * BELIEF_AGE;
@@ -97,6 +100,12 @@
 /// Rank of a first copy, one more where a holder is believed: objects requested once evict nothing in use.
 const FIRST_COPY_RANK: u8 = 1;
 
+/// The time after which an answer may be lost: a multiple of the expected latency plus a margin (seconds).
+struct LossTimeout {
+    factor: f64,
+    margin: f64,
+}
+
 // ---- State ----
 
 /// What this director knows of a cache node.
@@ -121,12 +130,18 @@
     last_listed: f64,
     consecutive_failures: u32,
     last_reset: f64,
-    /// While it is ejected: when the next trial may be sent, and the pause after that.
-    ejected: Option<(f64, f64)>,
+    ejection: Option<Ejection>,
     /// Times and work of attempts in the last overload window, kept while it is warming.
     warming_work: VecDeque<(f64, f64)>,
 }
 
+/// The ejection of a node: when its next trial may be sent, and the pause after that (seconds).
+#[derive(Clone, Copy)]
+struct Ejection {
+    trial_at: f64,
+    pause: f64,
+}
+
 #[derive(Clone, Copy, Default)]
 struct Attempt {
     choice: Choice,
@@ -275,7 +290,7 @@
 
     /// Returns whether a node is ejected and its next trial is not yet due.
     pub fn is_ejected(&self, now: f64, id: NodeId) -> bool {
-        self.nodes.get(&id).is_some_and(|k| k.ejected.is_some_and(|(trial, _)| now < trial))
+        self.nodes.get(&id).is_some_and(|k| k.ejection.is_some_and(|e| now < e.trial_at))
     }
 
     /// Handles one event and appends the resulting actions.
@@ -501,7 +516,7 @@
             let access = record.latency + work * slowdown;
             let cold = start.capacity_share(now, record.info.ready_at) < 1.0;
             let spread = Some(node) != hashed && !believed;
-            let flags = [record.ejected.is_some(), cold, spread, uncacheable, home_count > 1, believed];
+            let flags = [record.ejection.is_some(), cold, spread, uncacheable, home_count > 1, believed];
             let reason = RoutingReason::from_flags(flags);
             let absent = self.exclusion.probability(believed, holder_count);
             let miss_latency = access + penalty;
@@ -826,7 +841,7 @@
         let replied = matches!(end.outcome, Outcome::Ok | Outcome::Miss | Outcome::Full | Outcome::Error);
         for (id, replied) in [(node, replied), (source, filled)] {
             if let Some(k) = self.nodes.get_mut(&id).filter(|_| replied) {
-                (k.consecutive_failures, k.ejected) = (0, None);
+                (k.consecutive_failures, k.ejection) = (0, None);
                 k.newest_answered = k.newest_answered.max(attempt.sent_at);
                 k.stalls.record_answer(now);
                 self.last_answer = now;
@@ -863,10 +878,14 @@
         let crowding = self.nodes.get(&choice.node).map_or(1.0, |k| self.crowding(k));
         let full = crowding.max(self.zone_slowdown()) > 1.0;
         let losing = self.answers_lost.value(now) > LOSS_RATIO * self.answers_received.value(now);
-        let mode = if full { 0 } else { 1 + usize::from(attempt == 0 && losing) };
-        let expected = if mode == 2 && choice.believed { choice.latency } else { choice.miss_latency };
-        let (factor, margin) = LOST_AFTER[mode];
-        factor * expected + margin
+        let (timeout, expected) = if full {
+            (LOST_ON_FULL_LINK, choice.miss_latency)
+        } else if attempt == 0 && losing {
+            (LOST_WHILE_LOSING, if choice.believed { choice.latency } else { choice.miss_latency })
+        } else {
+            (LOST_ON_FREE_LINK, choice.miss_latency)
+        };
+        timeout.factor * expected + timeout.margin
     }
 
     /// Returns when an answer that was due then has come, if a stall of its node or of this front held it up.
@@ -941,7 +960,7 @@
     /// Returns whether a node may get an attempt, or be the source of one, now.
     fn is_usable(&self, now: f64, open: &OpenRequest, id: NodeId, work: f64) -> bool {
         let Some(k) = self.nodes.get(&id).filter(|k| k.listed) else { return false };
-        let may_try = k.ejected.is_none_or(|(trial, _)| now >= trial);
+        let may_try = k.ejection.is_none_or(|e| now >= e.trial_at);
         !open.avoid.contains(&id) && may_try && self.has_budget(now, k, work)
     }
 
@@ -965,7 +984,7 @@
         let (mean_load, rate) = if parent {
             (self.parent_links.work_rate / self.parents.parent_count().max(1.0), f64::INFINITY)
         } else {
-            let ejected = self.edges.iter().filter(|e| self.nodes[*e].ejected.is_some()).count();
+            let ejected = self.edges.iter().filter(|e| self.nodes[*e].ejection.is_some()).count();
             let takers = (self.edges.len() - ejected).max(1) as f64;
             let recent_rate = self.edge_links.work_rate / work.max(1e-3);
             let mean_load = self.edge_links.work_rate / self.edges.len().max(1) as f64;
@@ -1003,14 +1022,15 @@
     }
 
     fn eject(&mut self, now: f64) {
-        let pause = self.ejected.map_or(MIN_EJECTION, |(_, pause)| (2.0 * pause).min(MAX_EJECTION));
-        self.ejected = Some((now + pause, pause));
+        let pause = self.ejection.map_or(MIN_EJECTION, |e| (2.0 * e.pause).min(MAX_EJECTION));
+        self.ejection = Some(Ejection { trial_at: now + pause, pause });
     }
 
     /// Counts an attempt; a trial attempt postpones the next one.
     fn count_attempt(&mut self, now: f64, work: f64, window: f64) {
-        let postponed = |(trial, pause)| (if now >= trial { now + pause } else { trial }, pause);
-        self.ejected = self.ejected.map(postponed);
+        if let Some(e) = self.ejection.as_mut().filter(|e| now >= e.trial_at) {
+            e.trial_at = now + e.pause;
+        }
         if self.info.ready_at > 0.0 {
             self.warming_work.push_back((now, work));
             while self.warming_work.pop_front_if(|s| s.0 + window <= now).is_some() {}
