--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small stage for driving a director through its interface.
+//! A harness that drives a director through its interface, with a clock that the test advances.
 #![allow(dead_code)]
 
 use onyxyoke::Director;
@@ -50,26 +50,27 @@
     Node { id: NodeId(id), kind: ORIGIN, zone: ZoneId(0), ..edge(id) }
 }
 
-/// Three caches, two parents of their hub and the origin.
+/// Three edge caches, two parents in their hub and the origin.
 pub fn small_fleet() -> Vec<Node> {
     vec![edge(10), edge(11), edge(12), parent(20), parent(21), origin(30)]
 }
 
-/// Settings of one of `here` directors that share a zone, of 20 times as many in all.
-pub fn with_peers(here: u16) -> Settings {
-    Settings { directors: 20 * here, directors_by_zone: vec![0, 0, here], ..settings() }
+/// Settings of one of `in_zone` directors that share a zone, out of 20 times as many in all zones.
+pub fn with_peers(in_zone: u16) -> Settings {
+    Settings { directors: 20 * in_zone, directors_by_zone: vec![0, 0, in_zone], ..settings() }
 }
 
-/// A director, and the clock that it is told.
+/// A director and its clock.
 pub struct Stage {
     pub director: Director,
+    /// The time that is passed with each event (seconds).
     pub now: f64,
-    /// How long clients wait (seconds).
+    /// How long clients wait for an answer (seconds).
     pub patience: f64,
-    next: u32,
+    last_request: u32,
 }
 
-/// An attempt as it was ordered.
+/// An attempt that the director ordered.
 #[derive(Debug, Clone, Copy)]
 pub struct Sent {
     pub id: u32,
@@ -86,41 +87,46 @@
     }
 
     pub fn seeded(seed: u64, settings: Settings, nodes: &[Node]) -> Self {
-        let mut stage = Stage { director: Director::new(seed, settings), now: 100.0, patience: 5.0, next: 0 };
+        let mut stage =
+            Stage { director: Director::new(seed, settings), now: 100.0, patience: 5.0, last_request: 0 };
         stage.list(ListKind::Cached, nodes);
         stage
     }
 
+    /// Passes an event to the director and returns its actions.
     pub fn event(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.director.handle(self.now, event, &mut actions);
         actions
     }
 
+    /// Replaces the list of nodes of a kind.
     pub fn list(&mut self, kind: ListKind, nodes: &[Node]) {
         self.event(Event::List { kind, nodes: nodes.into() });
     }
 
-    /// A request for an object of `kb`.
+    /// Sends a request for an object of `kb` kilobytes; returns the request's number and the director's
+    /// actions.
     pub fn ask(&mut self, object: u64, kb: f64) -> (u32, Vec<Action>) {
-        self.next += 1;
+        self.last_request += 1;
         let request = Request {
-            id: RequestId(self.next),
+            id: RequestId(self.last_request),
             object: ObjectId(object),
             group: GroupId(object as u32 % 4),
             expires: self.now + self.patience,
             kb,
             ..Request::default()
         };
-        (self.next, self.event(Event::Request(request)))
+        (self.last_request, self.event(Event::Request(request)))
     }
 
-    /// A request that must lead to one attempt.
+    /// Sends a request and returns its first attempt; panics if there is none.
     pub fn fetch(&mut self, object: u64, kb: f64) -> Sent {
         let (_, actions) = self.ask(object, kb);
-        *sent(&actions).first().unwrap_or_else(|| panic!("nothing sent: {actions:?}"))
+        *sent(&actions).first().unwrap_or_else(|| panic!("no attempt was ordered: {actions:?}"))
     }
 
+    /// Ends an attempt `took` seconds later.
     pub fn end(&mut self, sent: Sent, number: u16, outcome: Outcome, note: Note, took: f64) -> Vec<Action> {
         self.now += took;
         self.event(Event::AttemptEnd {
@@ -136,24 +142,25 @@
         })
     }
 
-    /// The alarm that was set for the first attempt of a request goes off.
+    /// Fires the timer that was set for the first attempt of a request.
     pub fn first_attempt_alarm(&mut self, request: u32) -> Vec<Action> {
         self.event(Event::TimerFired { token: u64::from(request) << 16 })
     }
 
-    /// The deadline of a request passes.
+    /// Lets the deadline of a request pass.
     pub fn expire(&mut self, request: u32) -> Vec<Action> {
         self.event(Event::Expired { request: RequestId(request) })
     }
 
-    /// Many others were asked for, each once: what a test asks for after that is not hot, and has one home.
+    /// Requests 400 other objects once each, so that an object which the test requests afterwards is not hot
+    /// and has one home.
     pub fn mixed(&mut self) {
         for object in 1_000_000..1_000_400 {
             self.hit(object, 50.0);
         }
     }
 
-    /// A request that is served from a copy at the cache it was sent to.
+    /// Sends a request that is a hit at the cache it is sent to.
     pub fn hit(&mut self, object: u64, kb: f64) -> Sent {
         let sent = self.fetch(object, kb);
         self.end(sent, 0, Outcome::Ok, Note::Hit, kb / 1000.0);
@@ -161,9 +168,9 @@
     }
 }
 
-/// The attempts that were ordered.
+/// The attempts among these actions.
 pub fn sent(actions: &[Action]) -> Vec<Sent> {
-    let one = |a: &Action| match *a {
+    let attempt = |action: &Action| match *action {
         Action::Fetch { request, node, source, age, options, .. } => Some(Sent {
             id: request.0,
             node: node.0,
@@ -174,10 +181,10 @@
         }),
         _ => None,
     };
-    actions.iter().filter_map(one).collect()
+    actions.iter().filter_map(attempt).collect()
 }
 
-/// How long until the first alarm that was asked for (seconds).
+/// The delay of the first timer that was set (seconds).
 pub fn alarm_delay(actions: &[Action]) -> Option<f64> {
     actions.iter().find_map(|action| match action {
         Action::SetTimer { after, .. } => Some(*after),
@@ -185,10 +192,12 @@
     })
 }
 
+/// Returns whether a request was refused.
 pub fn refused(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Refuse { .. }))
 }
 
+/// Returns whether a request failed.
 pub fn failed(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Fail { .. }))
 }
--- a/tests/stand_ins/mod.rs
+++ b/tests/stand_ins/mod.rs
@@ -1,4 +1,4 @@
-//! The program as a process, between the stand-ins.
+//! Runs the program as a process against stand-ins for clients, cache nodes, the coordinator and discovery.
 #![allow(dead_code)]
 
 pub use onyxyoke_stand_ins::scripted::*;
@@ -12,12 +12,12 @@
 use std::thread;
 use std::time::Instant;
 
-/// Starts the program with this file alone; where it listens, and what else it logs.
+/// Starts the program with `variable` set to this file. Returns the process, its listen address and its log.
 pub fn start(variable: &str, file: &Path) -> (Child, SocketAddr, Receiver<String>) {
     onyxyoke_stand_ins::scripted::start(env!("CARGO_BIN_EXE_onyxyoke"), variable, file)
 }
 
-/// The program, started with the operator's example file on ports of the test's.
+/// A front that serves signed links, started with the operator's example file on ports of the test.
 pub struct Front {
     pub child: Child,
     pub address: SocketAddr,
@@ -48,13 +48,13 @@
         Front { child, address, keys: key_file, log, folder }
     }
 
-    /// One request on a connection of its own.
+    /// Sends a request on a new connection and reads the answer.
     pub fn request(&self, text: &str) -> (u16, String, Vec<u8>) {
         let mut stream = self.send(text);
         status(read_message(&mut stream))
     }
 
-    /// Sends a request and leaves its answer.
+    /// Sends a request on a new connection and returns that without reading the answer.
     pub fn send(&self, text: &str) -> TcpStream {
         let mut stream = TcpStream::connect(self.address).unwrap();
         stream.write_all(text.as_bytes()).unwrap();
@@ -69,12 +69,12 @@
         signal(&self.child, name);
     }
 
-    /// Reads the log until a line has this in it.
+    /// Reads the log until a line contains this, and returns the line.
     pub fn logged(&self, what: &str) -> String {
         logged(&self.log, what)
     }
 
-    /// What the counters say of the accounts of memory.
+    /// The memory accounts that the counters print (bytes).
     pub fn accounts(&self) -> BTreeMap<String, f64> {
         accounts(&self.child, &self.log)
     }
@@ -85,12 +85,12 @@
     assert!(Command::new("kill").args([name, &child.id().to_string()]).status().unwrap().success());
 }
 
-/// Reads a log until a line has this in it.
+/// Reads a log until a line contains this, and returns the line.
 fn logged(log: &Receiver<String>, what: &str) -> String {
-    // Whatever else is logged meanwhile does not make the wait longer.
-    let by = Instant::now() + PATIENCE;
+    // One deadline for all lines: other lines don't prolong the wait.
+    let deadline = Instant::now() + PATIENCE;
     loop {
-        let left = by.saturating_duration_since(Instant::now());
+        let left = deadline.saturating_duration_since(Instant::now());
         let line = log.recv_timeout(left).unwrap_or_else(|_| panic!("'{what}' was never logged"));
         if line.contains(what) {
             return line;
@@ -98,7 +98,7 @@
     }
 }
 
-/// What a process's counters say of its accounts of memory.
+/// Has a process print its counters and returns its memory accounts (bytes).
 fn accounts(child: &Child, log: &Receiver<String>) -> BTreeMap<String, f64> {
     signal(child, "-USR1");
     let line = logged(log, "memory total=");
@@ -121,18 +121,20 @@
 pub const ORIGIN: u32 = 9;
 pub const OBJECT: &str = "7f3a9c21e0b4d655";
 
-/// The settings of the operator's example, which have the platform's form.
+/// The settings of the operator's example file, in the form that the platform sends them.
 pub fn settings() -> Value {
     let operator: Value = toml::from_str(include_str!("../../deploy/operator.toml")).unwrap();
     operator["settings"].clone()
 }
 
+/// A member of the list of nodes.
 pub fn member(id: u32, kind: &str, address: SocketAddr) -> Value {
     json!({"id": format!("s-{id:08x}"), "host_port": address, "cell": 0, "phase": "active", "size": 8,
         "locality": if kind == "origin" { "hub" } else { "branch" }, "flavor": kind, "up_since_ms": 0})
 }
 
-/// A coordinator: hands each connection of a front to the test, with the number it asked from.
+/// Starts a coordinator that passes each connection of a front to the test, with the index of the last event
+/// that the front has.
 pub fn coordinator() -> (SocketAddr, Receiver<(u64, TcpStream)>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -150,14 +152,15 @@
     (address, feeds)
 }
 
+/// A front that the platform configures, with a coordinator.
 pub struct Node {
     pub child: Child,
     pub address: SocketAddr,
     pub log: Receiver<String>,
     pub folder: PathBuf,
-    /// Its `TMPDIR`, where it is not the test's.
+    /// Its `TMPDIR`, if that is not the test's own.
     pub tmp: Option<PathBuf>,
-    /// The coordinator: each connection of the front, with the number it asked from.
+    /// The front's connections to the coordinator, each with the index of the last event that the front has.
     pub feeds: Receiver<(u64, TcpStream)>,
 }
 
@@ -166,7 +169,7 @@
         Self::start_in(name, members, change, None)
     }
 
-    /// The same, with `TMPDIR` set to this folder where it is given.
+    /// Starts the front with `TMPDIR` set to `tmp`, if there is one.
     pub fn start_in(
         name: &str,
         members: Vec<Value>,
@@ -182,13 +185,13 @@
         let folder = std::env::temp_dir().join(format!("onyxyoke-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         std::fs::write(folder.join("config.json"), config.to_string()).unwrap();
-        let more: Vec<(&str, &Path)> = tmp.map(|tmp| ("TMPDIR", tmp)).into_iter().collect();
+        let variables: Vec<(&str, &Path)> = tmp.map(|tmp| ("TMPDIR", tmp)).into_iter().collect();
         let program = env!("CARGO_BIN_EXE_onyxyoke");
         let (child, address, log) = onyxyoke_stand_ins::scripted::start_with(
             program,
             "NODE_CONFIG",
             &folder.join("config.json"),
-            &more,
+            &variables,
         );
         Node { child, address, log, folder, tmp: tmp.map(Path::to_owned), feeds }
     }
@@ -197,17 +200,17 @@
         signal(&self.child, name);
     }
 
-    /// Reads the log until a line has this in it.
+    /// Reads the log until a line contains this, and returns the line.
     pub fn logged(&self, what: &str) -> String {
         logged(&self.log, what)
     }
 
-    /// What the counters say of the accounts of memory.
+    /// The memory accounts that the counters print (bytes).
     pub fn accounts(&self) -> BTreeMap<String, f64> {
         accounts(&self.child, &self.log)
     }
 
-    /// Changes the front's configuration and has it read that again.
+    /// Changes the front's configuration file and has the front read it again.
     pub fn reload(&self, change: impl Fn(&mut Value)) {
         let file = self.folder.join("config.json");
         let mut config: Value = serde_json::from_slice(&std::fs::read(&file).unwrap()).unwrap();
@@ -236,15 +239,16 @@
     }
 }
 
+/// A client's connection to the front.
 pub struct Client {
     pub stream: TcpStream,
     pub reader: BufReader<TcpStream>,
 }
 
-/// A command's frame.
+/// The RESP frame of a command.
 pub fn frame(words: &[&str]) -> String {
-    let words_framed: String = words.iter().map(|w| format!("${}\r\n{w}\r\n", w.len())).collect();
-    format!("*{}\r\n{words_framed}", words.len())
+    let framed_words: String = words.iter().map(|w| format!("${}\r\n{w}\r\n", w.len())).collect();
+    format!("*{}\r\n{framed_words}", words.len())
 }
 
 impl Client {
@@ -252,34 +256,39 @@
         self.stream.write_all(frame(words).as_bytes()).unwrap();
     }
 
-    pub fn ask(&mut self, tag: &str, call: u64, more: &str) {
-        let fields = format!("call={call:016x},ttl=3000,row={OBJECT},slice=0,set=17,heap=10.5,novel=1{more}");
+    /// Sends a request for [`OBJECT`] in the class `media`; `more_fields` follow the usual ones.
+    pub fn ask(&mut self, tag: &str, call: u64, more_fields: &str) {
+        let fields =
+            format!("call={call:016x},ttl=3000,row={OBJECT},slice=0,set=17,heap=10.5,novel=1{more_fields}");
         self.send(&["REQ", tag, "media", &fields, ""]);
     }
 
+    /// Reads a line that holds a number behind this mark.
     pub fn number(&mut self, mark: char) -> usize {
         let mut line = String::new();
         self.reader.read_line(&mut line).unwrap();
         line.strip_prefix(mark).unwrap_or_else(|| panic!("{line:?}")).trim_end().parse().unwrap()
     }
 
-    /// An answer's words.
+    /// Reads an answer and returns its words.
     pub fn answer(&mut self) -> Vec<String> {
         let count = self.number('*');
-        let word = |c: &mut Self| {
-            let mut bytes = vec![0; c.number('$') + 2];
-            c.reader.read_exact(&mut bytes).unwrap();
+        let word = |client: &mut Self| {
+            let mut bytes = vec![0; client.number('$') + 2];
+            client.reader.read_exact(&mut bytes).unwrap();
             bytes.truncate(bytes.len() - 2);
             String::from_utf8(bytes).unwrap()
         };
         (0..count).map(|_| word(self)).collect()
     }
 
+    /// Waits for the end of the connection; returns false if a byte comes first.
     pub fn closed(&mut self) -> bool {
         at_end(&mut self.reader).unwrap_or(true)
     }
 }
 
+/// Starts a front with one cache node, which is its origin too; returns the front and the node's commands.
 pub fn one_cache(name: &str) -> (Node, Receiver<Served>) {
     let (cache, served) = cache_node();
     (
@@ -288,7 +297,8 @@
     )
 }
 
-/// The same with two cache nodes, of which the second is the origin too; where each is, and what it gets.
+/// Starts a front with two cache nodes, the second of which is its origin too; returns the front and, for
+/// each node, its address and its commands.
 pub fn two_caches(name: &str) -> (Node, [(SocketAddr, Receiver<Served>); 2]) {
     let caches = [cache_node(), cache_node()];
     let [one, two] = [caches[0].0, caches[1].0];
@@ -297,11 +307,12 @@
     (Node::start(name, members, |_| ()), caches)
 }
 
+/// Waits for the next command at a cache node.
 pub fn next(served: &Receiver<Served>) -> Served {
-    served.recv_timeout(PATIENCE).expect("a command at the cache node")
+    served.recv_timeout(PATIENCE).expect("no command came to the cache node")
 }
 
-/// Is a stream at its end? A read that a signal interrupts says nothing and is repeated.
+/// Returns whether a stream is at its end. `read_exact` repeats a read that a signal interrupts.
 pub fn at_end(stream: &mut impl Read) -> std::io::Result<bool> {
     match stream.read_exact(&mut [0]) {
         Ok(()) => Ok(false),
@@ -310,7 +321,7 @@
     }
 }
 
-/// A client that has spoken, and is idle from now on.
+/// A client that has sent a command, read its answer, and is idle from then on.
 pub fn idle_client(node: &Node) -> Client {
     let mut client = node.connect();
     client.send(&["HEALTH", "8", ""]);
@@ -318,33 +329,34 @@
     client
 }
 
-/// The frame of a request of a class that the reserve is for, so that scarce memory refuses none of it.
+/// The frame of a keyed request in the class `holds`. The reserve is for that class, so that the front
+/// refuses none of its requests while memory is scarce.
 pub fn hold_frame(tag: u64) -> String {
     let fields = format!("call={tag:016x},ttl=3000,row={OBJECT},slice=0,set=17,heap=10.5,dedupe=k{tag}");
     frame(&["REQ", &tag.to_string(), "holds", &fields, ""])
 }
 
-/// Sends such a request.
+/// Sends the request of [`hold_frame`].
 pub fn hold(client: &mut Client, tag: u64) {
     client.stream.write_all(hold_frame(tag).as_bytes()).unwrap();
 }
 
-/// Has the front closed it?
+/// Returns whether the front has closed the connection.
 pub fn is_closed(client: &mut Client) -> bool {
     client.stream.set_nonblocking(true).unwrap();
     client.stream.peek(&mut [0]).is_ok_and(|n| n == 0)
 }
 
-/// A newer process of the front has noted itself, for which this one stands, and the front is told to end.
+/// Replaces the front: registers the test's own process as its successor, and sends SIGTERM.
 pub fn replaced(node: &Node, tmp: &Path) {
-    let notes = std::fs::read_dir(tmp).unwrap().map(|entry| entry.unwrap().path());
-    for note in notes.filter(|path| path.extension().is_some_and(|e| e == "live")) {
-        std::fs::write(note, std::process::id().to_string()).unwrap();
+    let paths = std::fs::read_dir(tmp).unwrap().map(|entry| entry.unwrap().path());
+    for pid_file in paths.filter(|path| path.extension().is_some_and(|e| e == "live")) {
+        std::fs::write(pid_file, std::process::id().to_string()).unwrap();
     }
     node.signal("-TERM");
 }
 
-/// The issuer of [`talks`].
+/// The issuer of the links that [`talks`] signs.
 pub const TALKS: &str = "talks.example.org";
 
 /// The signer of the talks team's links.
@@ -352,49 +364,53 @@
     Signer::new("t1", TALKS, b"the talks team's secret, 32 byte")
 }
 
-/// A front, its cache node (which is its origin too) and the first of its discovery server's requests.
+/// Starts a front that serves signed links, with a cache node and an origin, and waits until it has applied
+/// the list of nodes. Returns the front and the cache node's commands.
 pub fn stage(name: &str, keys: &[&Signer], change: impl Fn(String) -> String) -> (Front, Receiver<Served>) {
     let (cache, served) = cache_node();
-    let (origin, held) = cache_node();
-    let (server, asked) = discovery(vec![("standard", cache), ("origin", origin)]);
+    let (origin, origin_commands) = cache_node();
+    let (server, requests) = discovery(vec![("standard", cache), ("origin", origin)]);
     let front = Front::start(name, keys, server, change);
-    // The third request of a type says that the first two answers were taken in.
-    (0..6).for_each(|_| drop(asked.recv_timeout(PATIENCE).unwrap()));
-    assert_eq!(asked.recv_timeout(PATIENCE).unwrap()["version_info"], "1");
-    std::mem::forget(held);
+    // The third request for a resource type shows that the front has applied the first two answers.
+    (0..6).for_each(|_| drop(requests.recv_timeout(PATIENCE).unwrap()));
+    assert_eq!(requests.recv_timeout(PATIENCE).unwrap()["version_info"], "1");
+    // The origin keeps its connections open for as long as this receiver exists.
+    std::mem::forget(origin_commands);
     (front, served)
 }
 
-/// The file as it is.
+/// Leaves a configuration file as it is.
 pub fn same(text: String) -> String {
     text
 }
 
-/// The states of a process that waits for events, and of one that is stopped (proc_pid_stat(5)).
+/// The state of a process that waits for events (proc_pid_stat(5)).
 const SLEEPING: char = 'S';
+/// The state of a process that SIGSTOP has stopped (proc_pid_stat(5)).
 const STOPPED: char = 'T';
-/// A machine that is so late that a while is over says nothing; it has this many tries.
-const ROUNDS: u32 = 5;
+/// How often a test is run anew after the machine was too slow for its time limits, so that the run proved
+/// nothing.
+const MAX_ROUNDS: u32 = 5;
 
-/// Lets events come to the front while it stands still.
+/// Stops the front while `events` runs, so that it then finds all of these events at once.
 pub fn at_once<T>(node: &Node, events: impl FnOnce() -> T) -> T {
-    eventually("the front waits for events", || state(node) == SLEEPING);
+    eventually("the front waits for events", || process_state(node) == SLEEPING);
     node.signal("-STOP");
-    eventually("the front stands still", || state(node) == STOPPED);
-    let came = events();
+    eventually("the front is stopped", || process_state(node) == STOPPED);
+    let result = events();
     node.signal("-CONT");
-    came
+    result
 }
 
 /// The state of the front's process.
-fn state(node: &Node) -> char {
+fn process_state(node: &Node) -> char {
     let stat = std::fs::read_to_string(format!("/proc/{}/stat", node.child.id())).unwrap();
-    let (_, behind_the_name) = stat.rsplit_once(") ").unwrap();
-    behind_the_name.chars().next().unwrap()
+    let (_, fields_after_name) = stat.rsplit_once(") ").unwrap();
+    fields_after_name.chars().next().unwrap()
 }
 
-/// Plays again where the machine was too late, which the play tells by `None`.
-pub fn in_time(mut play: impl FnMut(&str) -> Option<()>) {
-    let in_time = (0..ROUNDS).any(|round| play(&format!("round-{round}")).is_some());
-    assert!(in_time, "{ROUNDS} rounds were late");
+/// Runs a test until it returns `Some`. It returns `None` if the machine was too slow for its time limits.
+pub fn in_time(mut run: impl FnMut(&str) -> Option<()>) {
+    let in_time = (0..MAX_ROUNDS).any(|round| run(&format!("round-{round}")).is_some());
+    assert!(in_time, "the machine was too slow in each of {MAX_ROUNDS} rounds");
 }
