--- a/tests/closing.rs
+++ b/tests/closing.rs
@@ -1,5 +1,6 @@
-//! A front closes a connection whose client has not read its answers yet. The end lies behind those answers, so that the
-//! client does not see it: what it sends is to be answered, and what it was sent is to reach it whole.
+//! Closing connections whose clients have not read their answers yet. Such a client can't see the FIN behind
+//! its answers and may send another request, which would be lost, or cause a reset that cuts off the unread
+//! answers. The front must keep the connection open, answer that request, and deliver all answers whole.
 
 mod stand_ins;
 use serde_json::{Value, json};
@@ -9,77 +10,81 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// More than the narrow socket of a client takes, and less than the system takes of a front (bytes).
-const LARGE: usize = 240_000;
-/// A client reads what its system has taken within this at the latest, as far as a front goes by.
-const READ_WITHIN: Duration = Duration::from_secs(1);
+/// A body that doesn't fit into the client's narrow receive buffer, but fits into the front's send buffer
+/// (bytes).
+const LARGE_BODY_BYTES: usize = 240_000;
+/// How long the front gives a client to read an answer that the client's kernel has received.
+const TIME_TO_READ: Duration = Duration::from_secs(1);
 
-/// A front with one cache node, and a client with a narrow socket that was answered and has read nothing: the system holds
-/// its answer, and the front nothing more.
-struct Unread {
+/// A front with one cache node, and a client that has not read its answer. The kernel holds all of the
+/// answer; the front has nothing more to send.
+struct UnreadAnswer {
     node: Node,
     served: Receiver<Served>,
     client: Client,
 }
 
-impl Unread {
-    fn start(name: &str, change: impl Fn(&mut Value)) -> Unread {
+impl UnreadAnswer {
+    fn start(name: &str, change: impl Fn(&mut Value)) -> UnreadAnswer {
         let (cache, served) = cache_node();
         let members = vec![member(EDGE, "standard", cache), member(ORIGIN, "origin", cache)];
         let node = Node::start(name, members, change);
         let client = Client::new(narrow(node.address));
-        Unread::answered(node, served, client)
+        UnreadAnswer::request(node, served, client)
     }
 
-    fn answered(node: Node, served: Receiver<Served>, mut client: Client) -> Unread {
+    /// Sends a request and waits until the front has passed the whole answer to the kernel.
+    fn request(node: Node, served: Receiver<Served>, mut client: Client) -> UnreadAnswer {
         hold(&mut client, 1);
-        next(&served).hit(&vec![b'y'; LARGE]);
+        next(&served).hit(&vec![b'y'; LARGE_BODY_BYTES]);
         eventually("the front counts the answer", || {
             node.signal("-USR1");
             node.logged("counters").contains(" served=1 ")
         });
-        eventually("the system has the answer", || node.accounts()["unread.now"] == 0.0);
-        Unread { node, served, client }
+        eventually("the kernel has the whole answer", || node.accounts()["unread.now"] == 0.0);
+        UnreadAnswer { node, served, client }
     }
 
-    /// The client asks again, and only then reads: both answers.
-    fn both_answers_come(mut self) {
+    /// Has the client send a second request before it reads, and checks that both answers arrive whole.
+    fn assert_both_answers_arrive(mut self) {
         hold(&mut self.client, 2);
         let served = self.served;
         thread::spawn(move || served.iter().for_each(|mut s| s.hit(b"second")));
         let first = self.client.answer();
-        assert_eq!((&*first[0], &*first[1], first[3].len()), ("1", "ok", LARGE));
+        assert_eq!((&*first[0], &*first[1], first[3].len()), ("1", "ok", LARGE_BODY_BYTES));
         let second = self.client.answer();
         assert_eq!((&*second[0], &*second[1], &*second[3]), ("2", "ok", "second"));
     }
 }
 
-/// Memory is scarce: idle connections are closed, the longest idle first.
+/// While memory is scarce the front closes idle connections, those that were idle for longest first. Guards
+/// against closing one whose client has unread answers.
 #[test]
-fn scarce_memory_closes_no_connection_over_unread_answers() {
-    let unread = Unread::start("closing-scarce", |_| ());
+fn scarce_memory_keeps_connections_with_unread_answers() {
+    let unread = UnreadAnswer::start("closing-scarce", |_| ());
     let mut idle = idle_client(&unread.node);
-    // Less than any program takes, so that nothing of the shared part is free.
+    // Less than the program needs by itself, so that none of the shared memory is free.
     unread.node.reload(|config| config["limits"]["memory_mb"] = json!(4));
-    assert!(idle.closed(), "one that has become idle later is closed");
-    unread.both_answers_come();
+    assert!(idle.closed(), "a connection that became idle later is closed");
+    unread.assert_both_answers_arrive();
 }
 
-/// Memory becomes scarce while no client comes: idle connections are closed all the same, long before their idle time is over.
+/// Guards against scarce memory that closes idle connections only when a new connection arrives: with none,
+/// they would stay open until their idle timeout.
 #[test]
-fn scarce_memory_closes_idle_connections_though_no_client_comes() {
+fn scarce_memory_closes_idle_connections_without_new_connections() {
     let (node, _served) = one_cache("closing-relief");
     let (mut idle, mut waiting) = (idle_client(&node), node.connect());
-    // Nobody answers it: its time is over after 3 s, which is when the front says so.
+    // The cache node never answers this request, so the front fails it after 3 s: the test's clock.
     hold(&mut waiting, 1);
     node.reload(|config| config["limits"]["memory_mb"] = json!(4));
     assert_eq!(waiting.answer()[0], "1");
     assert!(is_closed(&mut idle));
 }
 
-/// Memory is scarce: one that was just made has the time to ask, though it has not spoken yet.
+/// Guards against scarce memory that closes a new connection before its client could send a request.
 #[test]
-fn scarce_memory_closes_no_connection_that_was_just_made() {
+fn scarce_memory_keeps_connections_that_were_just_opened() {
     let (node, served) = one_cache("closing-new");
     let mut idle = [idle_client(&node), idle_client(&node)];
     node.reload(|config| config["limits"]["memory_mb"] = json!(4));
@@ -91,92 +96,101 @@
     assert_eq!(fresh.answer()[1], "ok");
 }
 
-/// Idle connections hold more than a cut limit grants: as many of them as it takes give way to one that comes.
+/// Idle connections hold more memory than a lowered limit grants: the front evicts as many of them as a new
+/// connection needs. Guards against refusing the new connection because evicting one is not enough.
 #[test]
-fn idle_connections_beyond_a_cut_limit_give_way_to_a_new_client() {
+fn idle_connections_beyond_a_lowered_memory_limit_are_evicted_for_a_new_connection() {
     let (node, served) = one_cache("closing-cut");
-    let crowd: Vec<Client> = (0..60).map(|_| idle_client(&node)).collect();
+    let idle_clients: Vec<Client> = (0..60).map(|_| idle_client(&node)).collect();
     node.reload(|config| config["limits"]["memory_mb"] = json!(4));
     node.logged("the settings are in force");
     let mut fresh = node.connect();
     hold(&mut fresh, 1);
     next(&served).hit(b"first");
     assert_eq!(fresh.answer()[1], "ok");
-    drop(crowd);
+    drop(idle_clients);
 }
 
-/// Every place of a client is taken, and more come: the longest idle gives way.
+/// All connection slots are taken and new connections arrive: the front evicts the connection that was idle
+/// for longest. Guards against evicting one whose client has unread answers.
 #[test]
-fn a_crowd_closes_no_connection_over_unread_answers() {
-    let unread = Unread::start("closing-crowd", |config| config["limits"]["sockets"] = json!(64));
+fn slot_eviction_keeps_connections_with_unread_answers() {
+    let unread = UnreadAnswer::start("closing-crowd", |config| config["limits"]["sockets"] = json!(64));
     let mut idle = idle_client(&unread.node);
-    let mut crowd = Vec::new();
-    eventually("one that has become idle later is closed", || {
-        crowd.push(idle_client(&unread.node));
+    let mut new_clients = Vec::new();
+    eventually("a connection that became idle later is closed", || {
+        new_clients.push(idle_client(&unread.node));
         is_closed(&mut idle)
     });
-    unread.both_answers_come();
+    unread.assert_both_answers_arrive();
 }
 
-/// A connection is closed that was idle for long.
+/// Guards against an idle timeout that closes a connection whose client has unread answers.
 #[test]
-fn time_closes_no_connection_over_unread_answers() {
-    let unread = Unread::start("closing-idle", |_| ());
+fn idle_timeout_keeps_connections_with_unread_answers() {
+    let unread = UnreadAnswer::start("closing-idle", |_| ());
     let mut idle = idle_client(&unread.node);
-    assert!(idle.closed(), "one that has become idle later is closed");
-    unread.both_answers_come();
+    assert!(idle.closed(), "a connection that became idle later is closed");
+    unread.assert_both_answers_arrive();
 }
 
-/// The front is told to end: it closes what is idle once the closing window is over.
+/// After SIGTERM the front closes idle connections at the end of its closing window. Guards against closing
+/// one whose client has unread answers.
 #[test]
-fn the_end_closes_no_connection_over_unread_answers() {
-    let unread = Unread::start("closing-end", |_| ());
+fn shutdown_keeps_connections_with_unread_answers() {
+    let unread = UnreadAnswer::start("closing-end", |_| ());
     let mut idle = idle_client(&unread.node);
     unread.node.signal("-TERM");
-    assert!(idle.closed(), "one that is idle is closed");
-    unread.both_answers_come();
+    assert!(idle.closed(), "an idle connection is closed");
+    unread.assert_both_answers_arrive();
 }
 
-/// A replaced front closes what is idle at once.
+/// A replaced front closes idle connections at once. Guards against closing one whose client has unread
+/// answers.
 #[test]
-fn a_replacement_closes_no_connection_over_unread_answers() {
+fn replaced_front_keeps_connections_with_unread_answers() {
     let tmp = std::env::temp_dir().join(format!("onyxyoke-tmp-replaced-{}", std::process::id()));
-    let unread = replaceable(&tmp, "closing-replaced", |node| narrow(node.address));
+    let unread = start_replaceable(&tmp, "closing-replaced", |node| narrow(node.address));
     let mut silent = unread.node.connect();
     replaced(&unread.node, &tmp);
-    assert!(silent.closed(), "one that has said nothing is closed");
-    unread.both_answers_come();
+    assert!(silent.closed(), "a connection without any request is closed");
+    unread.assert_both_answers_arrive();
     std::fs::remove_dir_all(tmp).unwrap();
 }
 
-/// The same where the client's system has taken all of the answer and its program has read nothing of it: it has a while.
+/// The client's kernel has received the whole answer, and its program has read none of it. Guards against a
+/// replaced front that takes an acknowledged answer for read and closes the connection at once.
 #[test]
-fn a_replacement_gives_clients_time_to_read_what_they_were_just_sent() {
+fn replaced_front_gives_clients_time_to_read_received_answers() {
     let tmp = std::env::temp_dir().join(format!("onyxyoke-tmp-just-sent-{}", std::process::id()));
-    // A machine that is so late that the while is over says nothing.
+    // A round proves nothing if the machine is so slow that the time to read is over.
     for round in 0..5 {
         let began = Instant::now();
         let name = format!("closing-just-sent-{round}");
-        let unread = replaceable(&tmp, &name, |node| TcpStream::connect(node.address).unwrap());
+        let unread = start_replaceable(&tmp, &name, |node| TcpStream::connect(node.address).unwrap());
         let mut silent = unread.node.connect();
         replaced(&unread.node, &tmp);
-        assert!(silent.closed(), "one that has said nothing is closed");
-        if began.elapsed() < READ_WITHIN {
-            unread.both_answers_come();
+        assert!(silent.closed(), "a connection without any request is closed");
+        if began.elapsed() < TIME_TO_READ {
+            unread.assert_both_answers_arrive();
             std::fs::remove_dir_all(tmp).unwrap();
             return;
         }
     }
-    panic!("five rounds were late");
+    panic!("the machine was too slow in each of five rounds");
 }
 
-/// A front that notes itself in this folder, and a client that has read nothing of its answer.
-fn replaceable(tmp: &std::path::Path, name: &str, connect: impl Fn(&Node) -> TcpStream) -> Unread {
+/// Starts a front that registers itself in this folder, with a client that has not read its answer.
+fn start_replaceable(
+    tmp: &std::path::Path,
+    name: &str,
+    connect: impl Fn(&Node) -> TcpStream,
+) -> UnreadAnswer {
     std::fs::create_dir_all(tmp).unwrap();
     let (cache, served) = cache_node();
     let members = vec![member(EDGE, "standard", cache), member(ORIGIN, "origin", cache)];
     let admin_on = |config: &mut Value| config["admin_addr"] = json!("127.0.0.1:0");
     let node = Node::start_in(name, members, admin_on, Some(tmp));
     let client = Client::new(connect(&node));
-    Unread::answered(node, served, client)
+    UnreadAnswer::request(node, served, client)
 }
--- a/tests/closing_busy.rs
+++ b/tests/closing_busy.rs
@@ -1,4 +1,4 @@
-//! A front ends while a client goes on asking on an open connection, so that the connection is never idle.
+//! Shutdown of a front while a client sends requests without a pause, so that its connection is never idle.
 
 mod stand_ins;
 use stand_ins::*;
@@ -7,38 +7,40 @@
 use std::sync::mpsc::Receiver;
 use std::thread;
 
-/// Requests that the client has open at any time.
-const OPEN: u64 = 4;
-/// Frames that a front takes of one client (a second), and how long a request may cross the close of its connection (seconds).
-const FRAMES: f64 = 1000.0;
-const CROSSED: f64 = 0.05;
-/// A client that sends the next request with each answer has so many refused in the front's last moment at most: what was open,
-/// what came for it, and what it sends until it sees the end.
-const REFUSED_MOST: u64 = 2 * OPEN + (FRAMES * CROSSED) as u64;
+/// Requests that the client has in flight at any time.
+const IN_FLIGHT: u64 = 4;
+/// The rate at which a front reads the frames of one client (1/s).
+const FRAMES_PER_S: f64 = 1000.0;
+/// How long the client goes on sending requests after the front has closed the connection, at most (seconds).
+const SENT_AFTER_CLOSE_S: f64 = 0.05;
+/// The most requests that are refused during shutdown to a client that sends one for each answer: those in
+/// flight, those that it sends for their answers, and those that it sends until it sees the end of the
+/// connection.
+const MAX_REFUSED: u64 = 2 * IN_FLIGHT + (FRAMES_PER_S * SENT_AFTER_CLOSE_S) as u64;
 
-/// A cache node that answers each request once the next has come, so that one is always open.
-fn answers_behind_the_next(served: Receiver<Served>) {
+/// Answers each request once the next has come, so that one is always in flight at the cache node.
+fn answer_one_behind(served: Receiver<Served>) {
     thread::spawn(move || {
-        let mut before: Option<Served> = None;
-        for asked in served {
-            if let Some(mut before) = before.replace(asked) {
-                before.hit(b"whole");
+        let mut previous: Option<Served> = None;
+        for request in served {
+            if let Some(mut previous) = previous.replace(request) {
+                previous.hit(b"whole");
             }
         }
     });
 }
 
-/// Has a front told to end while a client asks without a pause, until the front ends the connection in order. How often the
-/// client was answered with which word.
-fn ask_to_the_end(node: &Node) -> BTreeMap<String, u64> {
+/// Sends requests without a pause, and SIGTERM to the front, until the front closes the connection in order.
+/// Returns how many answers of each kind the client got.
+fn request_until_closed(node: &Node) -> BTreeMap<String, u64> {
     let mut client = node.connect();
     let mut answers = BTreeMap::new();
-    (1..=OPEN).for_each(|tag| client.ask(&tag.to_string(), tag, ""));
-    let mut last_tag = OPEN;
-    while !client.reader.fill_buf().expect("an end in order").is_empty() {
+    (1..=IN_FLIGHT).for_each(|tag| client.ask(&tag.to_string(), tag, ""));
+    let mut last_tag = IN_FLIGHT;
+    while !client.reader.fill_buf().expect("the connection does not end in order").is_empty() {
         let word = client.answer().swap_remove(1);
         *answers.entry(word).or_default() += 1;
-        if last_tag == OPEN {
+        if last_tag == IN_FLIGHT {
             node.signal("-TERM");
         }
         last_tag += 1;
@@ -47,16 +49,16 @@
     answers
 }
 
-/// A connection that is never idle stayed open beyond the time at which the process answers all it took: for 0.3 s its client
-/// was told again and again that its requests had failed, though a successor or another front could have served them.
+/// Guards against a connection that outlives the shutdown's time limit because it is never idle: the front
+/// would go on failing its requests (for 0.3 s), though a successor or another front could serve them.
 #[test]
-fn a_client_that_never_pauses_is_refused_and_sees_the_end() {
+fn busy_connection_is_refused_and_closed_at_shutdown() {
     let (mut node, served) = one_cache("closing-busy");
-    answers_behind_the_next(served);
-    let answers = ask_to_the_end(&node);
+    answer_one_behind(served);
+    let answers = request_until_closed(&node);
     assert!(node.child.wait().unwrap().success());
     let count = |word: &str| answers.get(word).copied().unwrap_or_default();
-    assert!(count("ok") > OPEN, "{answers:?}");
+    assert!(count("ok") > IN_FLIGHT, "{answers:?}");
     assert_eq!(count("fault"), 0, "{answers:?}");
-    assert!((1..=REFUSED_MOST).contains(&count("full")), "{answers:?}");
+    assert!((1..=MAX_REFUSED).contains(&count("full")), "{answers:?}");
 }
