--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -1,5 +1,5 @@
-//! Two events that cross, as a process against stand-ins: the stand-in holds one back until the other was seen.
-//! The rows of docs/design/crossings.md name these tests.
+//! Races between two events: a stand-in delays one event until the test has seen the other.
+//! The table in docs/design/crossings.md names these tests.
 
 mod stand_ins;
 use serde_json::json;
@@ -9,256 +9,265 @@
 use std::sync::mpsc::Receiver;
 use std::time::{Duration, Instant};
 
-/// A request's frame.
-fn request(tag: u64, call: u64) -> Vec<u8> {
+/// The frame of a request.
+fn request_frame(tag: u64, call: u64) -> Vec<u8> {
     let fields = format!("call={call:016x},ttl=3000,row={OBJECT},slice=0,set=17,heap=10.5");
     let words = ["REQ", &tag.to_string(), "media", &fields, ""];
     let words: String = words.iter().map(|w| format!("${}\r\n{w}\r\n", w.len())).collect();
     format!("*5\r\n{words}").into_bytes()
 }
 
-/// What a stream brings until its end; the error is how else it ended.
-fn rest(stream: &mut TcpStream) -> Result<Vec<u8>, ErrorKind> {
+/// Reads a stream to its end. The error says how it ended otherwise.
+fn read_to_end(stream: &mut TcpStream) -> Result<Vec<u8>, ErrorKind> {
     let mut all = Vec::new();
     stream.read_to_end(&mut all).map(|_| all).map_err(|e| e.kind())
 }
 
-/// The value of a counter in the line that the program prints when it ends.
-fn at_exit(node: &mut Node, name: &str) -> u64 {
+/// Waits until the program exits in order. Returns the value of a counter in the line that it prints then.
+fn counter_at_exit(node: &mut Node, name: &str) -> u64 {
     let line = node.logged("at exit: counters");
     assert_eq!(node.child.wait().unwrap().code(), Some(0));
     let mark = format!("{name}=");
     line.split(' ').find_map(|w| w.strip_prefix(&mark)).unwrap().parse().unwrap()
 }
 
-/// The next command at either of two cache nodes; is it the first one's?
-fn either(first: &Receiver<Served>, second: &Receiver<Served>) -> (Served, bool) {
-    let mut came = None;
+/// Waits for the next command at either of two cache nodes. Returns it and whether it came to the first one.
+fn next_at_either(first: &Receiver<Served>, second: &Receiver<Served>) -> (Served, bool) {
+    let mut command = None;
     eventually("a command at either cache node", || {
-        let at = |served: &Receiver<Served>, mine: bool| Some((served.try_recv().ok()?, mine));
-        came = at(first, true).or_else(|| at(second, false));
-        came.is_some()
+        let next_at = |served: &Receiver<Served>, is_first: bool| Some((served.try_recv().ok()?, is_first));
+        command = next_at(first, true).or_else(|| next_at(second, false));
+        command.is_some()
     });
-    came.unwrap()
+    command.unwrap()
 }
 
-fn nothing(served: &Receiver<Served>) {
-    if let Ok(s) = served.try_recv() {
-        panic!("{} {} reached the cache", s.verb, s.id);
+/// Panics if a command has reached the cache node.
+fn assert_no_command(served: &Receiver<Served>) {
+    if let Ok(command) = served.try_recv() {
+        panic!("{} {} reached the cache node", command.verb, command.id);
     }
 }
 
-/// A client that rests until the front ends it, and whose next request crosses that end: the front's side is closed when
-/// the request is written. It is not read on to a cache, and the connection ends in order, not by a reset.
+/// A client sends a request after the front has closed its side of an idle connection at shutdown. Guards
+/// against sending that request to a cache node, and against a reset in place of an orderly end.
 #[test]
-fn a_request_that_crosses_the_end_of_a_resting_connection_goes_nowhere() {
+fn request_after_an_idle_connection_is_closed_is_not_sent_on() {
     let (mut node, served) = one_cache("crossing-rest");
-    let mut c = node.connect();
-    c.ask("1", 0xa1, "");
+    let mut client = node.connect();
+    client.ask("1", 0xa1, "");
     next(&served).hit(b"x");
-    assert_eq!(c.answer()[1], "ok");
+    assert_eq!(client.answer()[1], "ok");
     node.signal("-TERM");
-    assert!(c.closed(), "it rests until the front ends it");
-    c.stream.write_all(&request(2, 0xa2)).unwrap();
-    c.stream.shutdown(Shutdown::Write).unwrap();
-    assert_eq!(rest(&mut c.stream), Ok(Vec::new()));
-    nothing(&served);
-    assert_eq!(at_exit(&mut node, "requests"), 1);
+    assert!(client.closed(), "the front closes the idle connection");
+    client.stream.write_all(&request_frame(2, 0xa2)).unwrap();
+    client.stream.shutdown(Shutdown::Write).unwrap();
+    assert_eq!(read_to_end(&mut client.stream), Ok(Vec::new()));
+    assert_no_command(&served);
+    assert_eq!(counter_at_exit(&mut node, "requests"), 1);
 }
 
-/// The same with more resting clients than may linger beside others: at the end there are no others, and none is reset.
+/// More idle connections are closed at shutdown than may linger at once in normal operation, and each client
+/// sends a request after the close. Guards against a limit on lingering connections that resets some of them
+/// during shutdown.
 #[test]
-fn many_that_rest_until_the_front_ends_them_are_all_closed_in_order() {
+fn all_idle_connections_end_in_order_at_shutdown() {
     let (cache, served) = cache_node();
     let members = vec![member(EDGE, "standard", cache), member(ORIGIN, "origin", cache)];
     let mut node = Node::start("crossing-many", members, |c| c["limits"]["sockets"] = json!(64));
     let mut clients: Vec<Client> = (0..20).map(|_| node.connect()).collect();
-    for c in &mut clients {
-        c.send(&["HEALTH", "8", ""]);
-        assert_eq!(c.answer()[..2], ["8", "yes"]);
+    for client in &mut clients {
+        client.send(&["HEALTH", "8", ""]);
+        assert_eq!(client.answer()[..2], ["8", "yes"]);
     }
     node.signal("-TERM");
-    // Each writes once it has seen the end, while the front waits for all of them to close too.
-    for c in &mut clients {
-        assert!(c.closed());
-        c.stream.write_all(&request(2, 0xa2)).unwrap();
+    // Each client writes once it has seen the end, while the front waits for all clients to close their
+    // sides.
+    for client in &mut clients {
+        assert!(client.closed());
+        client.stream.write_all(&request_frame(2, 0xa2)).unwrap();
     }
-    for c in &mut clients {
-        c.stream.shutdown(Shutdown::Write).unwrap();
-        assert_eq!(rest(&mut c.stream), Ok(Vec::new()));
+    for client in &mut clients {
+        client.stream.shutdown(Shutdown::Write).unwrap();
+        assert_eq!(read_to_end(&mut client.stream), Ok(Vec::new()));
     }
-    assert_eq!(at_exit(&mut node, "requests"), 0);
-    nothing(&served);
+    assert_eq!(counter_at_exit(&mut node, "requests"), 0);
+    assert_no_command(&served);
 }
 
-/// The other order: the request is written first, and SIGTERM finds it in the front's hands. Its answer is written whole
-/// before its connection ends, though more than a socket takes lies before it.
+/// SIGTERM arrives while a request is in flight, and its answer is larger than the socket buffers. Guards
+/// against a close that cuts the answer off.
 #[test]
-fn a_request_taken_before_the_end_is_answered_before_it() {
+fn request_in_flight_at_sigterm_is_answered_whole() {
     let (mut node, served) = one_cache("crossing-taken");
-    let mut c = Client::new(narrow(node.address));
-    c.ask("1", 0xa1, "");
-    let mut asked = next(&served);
+    let mut client = Client::new(narrow(node.address));
+    client.ask("1", 0xa1, "");
+    let mut request = next(&served);
     node.signal("-TERM");
     node.logged("onyxyoke").clear();
     let body = vec![b'y'; 240_000];
-    asked.hit(&body);
-    let answer = c.answer();
+    request.hit(&body);
+    let answer = client.answer();
     assert_eq!((&*answer[1], answer[3].len()), ("ok", body.len()));
-    assert!(c.closed());
-    assert_eq!(at_exit(&mut node, "served"), 1);
+    assert!(client.closed());
+    assert_eq!(counter_at_exit(&mut node, "served"), 1);
 }
 
-/// Half a request has come when the front is told to end, and the rest of it comes then: it is answered.
+/// SIGTERM arrives between the two halves of a request. Guards against closing the connection as an idle one.
 #[test]
-fn a_request_in_two_halves_round_sigterm_is_answered() {
+fn request_whose_halves_arrive_around_sigterm_is_answered() {
     let (mut node, served) = one_cache("crossing-half");
-    let mut c = node.connect();
-    c.send(&["HEALTH", "8", ""]);
-    assert_eq!(c.answer()[..2], ["8", "yes"]);
-    let whole = request(1, 0xa1);
-    c.stream.write_all(&whole[..40]).unwrap();
+    let mut client = node.connect();
+    client.send(&["HEALTH", "8", ""]);
+    assert_eq!(client.answer()[..2], ["8", "yes"]);
+    let frame = request_frame(1, 0xa1);
+    client.stream.write_all(&frame[..40]).unwrap();
     node.signal("-TERM");
     let mut other = node.connect();
-    eventually("the closing", || {
+    eventually("the closing window begins", || {
         other.send(&["HEALTH", "1", ""]);
         other.answer()[1] == "no"
     });
-    // The other one rests, and is ended: by then the half one is all that is waited for.
+    // The other connection is idle and gets closed: after that the front waits only for the partial request.
     assert!(other.closed());
-    c.stream.write_all(&whole[40..]).unwrap();
+    client.stream.write_all(&frame[40..]).unwrap();
     next(&served).hit(b"x");
-    assert_eq!(c.answer()[1], "ok");
-    assert!(c.closed());
-    assert_eq!(at_exit(&mut node, "served"), 1);
+    assert_eq!(client.answer()[1], "ok");
+    assert!(client.closed());
+    assert_eq!(counter_at_exit(&mut node, "served"), 1);
 }
 
-/// A client sends more than is read of it at once and goes: its end is seen behind the unread part, and what it asked for
-/// in it is not sent on.
+/// A client sends more than the front reads at once, with a request at the end, and closes its side. Guards
+/// against a front that notices the end only after all that comes before it, and sends the request to a cache
+/// node.
 #[test]
-fn what_lies_unread_behind_a_flood_from_a_client_that_went_is_not_sent_on() {
+fn unread_request_of_a_flooding_client_that_left_is_not_sent_on() {
     let (mut node, served) = one_cache("crossing-flood");
-    let mut c = node.connect();
+    let mut client = node.connect();
     let health: Vec<u8> =
         (0..900).flat_map(|_| b"*3\r\n$6\r\nHEALTH\r\n$1\r\n8\r\n$0\r\n\r\n".to_vec()).collect();
-    c.stream.write_all(&[health, request(1, 0xa1)].concat()).unwrap();
-    c.stream.shutdown(Shutdown::Write).unwrap();
-    // It is ended well before a client that is held to its rate would have been read so far.
-    let _ = rest(&mut c.stream);
+    client.stream.write_all(&[health, request_frame(1, 0xa1)].concat()).unwrap();
+    client.stream.shutdown(Shutdown::Write).unwrap();
+    // The front closes the connection long before its rate limit would let it read that far.
+    let _ = read_to_end(&mut client.stream);
     node.signal("-TERM");
-    assert_eq!(at_exit(&mut node, "written"), 0);
-    nothing(&served);
+    assert_eq!(counter_at_exit(&mut node, "written"), 0);
+    assert_no_command(&served);
 }
 
-/// A client goes while its requests wait at a cache: each is cancelled there, once, and none goes to another cache when
-/// the first one fails it then.
+/// A client disconnects while its request is in flight at a cache node, which then fails it. Guards against a
+/// missing or repeated cancel, and against a further attempt for a client that is gone.
 #[test]
-fn a_client_that_goes_gets_no_further_attempt() {
+fn request_of_a_disconnected_client_gets_no_further_attempt() {
     let (mut node, [(_, at_one), (_, at_two)]) = two_caches("crossing-gone");
-    let mut c = node.connect();
-    c.ask("1", 0xa1, "");
-    let (mut asked, _) = either(&at_one, &at_two);
-    drop(c);
-    // The cancel has come: only now the cache fails the request, which crosses nothing any more, and would have been a
+    let mut client = node.connect();
+    client.ask("1", 0xa1, "");
+    let (mut request, _) = next_at_either(&at_one, &at_two);
+    drop(client);
+    // The cache node fails the request only after it has got the cancel. Without that, the failure would be a
     // reason for a further attempt.
-    let (cancel, _) = either(&at_one, &at_two);
-    assert_eq!((&*cancel.verb, &cancel.id), ("cancel", &asked.id));
-    asked.answer("FAULT", "n=TCP_MISS", b"");
+    let (cancel, _) = next_at_either(&at_one, &at_two);
+    assert_eq!((&*cancel.verb, &cancel.id), ("cancel", &request.id));
+    request.answer("FAULT", "n=TCP_MISS", b"");
     node.signal("-TERM");
-    assert_eq!(at_exit(&mut node, "written"), 1);
-    nothing(&at_one);
-    nothing(&at_two);
+    assert_eq!(counter_at_exit(&mut node, "written"), 1);
+    assert_no_command(&at_one);
+    assert_no_command(&at_two);
 }
 
-/// SIGTERM before there is a cache to send to, twice, and between two SIGHUPs.
+/// SIGTERM arrives twice, between SIGHUPs, before the front has a cache node. Guards against signals that are
+/// lost or cause an exit with an error.
 #[test]
-fn sigterm_ends_the_program_whenever_it_comes() {
+fn sigterm_before_the_front_is_ready_ends_it_in_order() {
     let mut node = Node::start("crossing-early", Vec::new(), |_| ());
-    let mut c = node.connect();
-    c.send(&["HEALTH", "8", ""]);
-    assert_eq!(c.answer()[..2], ["8", "no"], "not ready");
+    let mut client = node.connect();
+    client.send(&["HEALTH", "8", ""]);
+    assert_eq!(client.answer()[..2], ["8", "no"], "not ready");
     ["-HUP", "-TERM", "-HUP", "-TERM"].iter().for_each(|s| node.signal(s));
-    assert!(c.closed());
-    assert_eq!(at_exit(&mut node, "requests"), 0);
+    assert!(client.closed());
+    assert_eq!(counter_at_exit(&mut node, "requests"), 0);
 }
 
-/// The watch falls silent without an end, and a drain begins: the front opens a new one, from the last event that it had,
-/// well before the drain counts as told (7 s); the silent one is left, so that what comes on it late is not heard.
+/// The coordinator's watch stalls without an end. Guards against a front that keeps waiting on it, and so
+/// misses a drain: it must open a new watch from the last whole event well before all fronts are expected to
+/// know of a drain (7 s), and close the stalled one, so that late events on that are not applied.
 #[test]
-fn a_watch_that_falls_silent_is_opened_anew_from_the_last_event() {
+fn stalled_watch_is_reopened_from_the_last_event() {
     let (node, _served) = one_cache("crossing-silent");
-    let (last, mut silent) = node.feeds.recv_timeout(PATIENCE).unwrap();
+    let (last, mut stalled) = node.feeds.recv_timeout(PATIENCE).unwrap();
     assert_eq!(last, 3);
     let began = Instant::now();
     let purge = |number: u64| {
         let payload = [&17u16.to_be_bytes()[..], &1u64.to_be_bytes()].concat();
         [&(9 + payload.len() as u32).to_be_bytes()[..], &number.to_be_bytes(), &[4], &payload].concat()
     };
-    // Half a frame, and no more: that proves nothing.
-    silent.write_all(&purge(4)).unwrap();
-    silent.write_all(&purge(5)[..10]).unwrap();
+    // A partial frame doesn't count as an event.
+    stalled.write_all(&purge(4)).unwrap();
+    stalled.write_all(&purge(5)[..10]).unwrap();
     let (last, mut second) = node.feeds.recv_timeout(PATIENCE).unwrap();
-    assert_eq!(last, 4, "the half one was not had");
-    // The second says nothing at all; there is a third in time too.
+    assert_eq!(last, 4, "the partial event is not applied");
+    // The second watch brings nothing at all, so that the front opens a third one.
     let (last, mut third) = node.feeds.recv_timeout(PATIENCE).unwrap();
     assert_eq!(last, 4);
     assert!(began.elapsed() < Duration::from_secs(7), "{:?}", began.elapsed());
-    let left = |stream: &mut TcpStream| at_end(stream).unwrap_or(true);
-    assert!(left(&mut silent) && left(&mut second), "both are left");
-    // Repeated, and older than what is held: heard once.
+    let is_closed = |stream: &mut TcpStream| at_end(stream).unwrap_or(true);
+    assert!(is_closed(&mut stalled) && is_closed(&mut second), "both stalled watches are closed");
+    // Repeated events, and those older than the last one, are applied only once.
     third.write_all(&[purge(4), purge(5), purge(4)].concat()).unwrap();
-    counted(&node, " purges=2 ");
+    await_counter(&node, " purges=2 ");
 }
 
-/// A drain that comes twice, the node's removal and its return at the same address cross on one connection to the
-/// coordinator: it is used before and after, and not between.
+/// A node drains (the event comes twice), is removed, and another node appears at its address. Guards against
+/// using the node while it drains, and against a state of the old node that keeps the new one unused.
 #[test]
-fn a_node_that_drains_vanishes_and_returns_at_its_address_is_used_again() {
-    let (node, [(cache, at_cache), (_, at_twin)]) = two_caches("crossing-returns");
+fn node_at_the_address_of_a_drained_node_is_used() {
+    let (node, [(cache, at_cache), (_, at_other)]) = two_caches("crossing-returns");
     let (_, mut feed) = node.feeds.recv_timeout(PATIENCE).unwrap();
-    let record = |id: u32, state: u8| record(id, state, cache);
-    let frame = list;
-    let mut c = node.connect();
-    let mut asked = 0;
-    // A request for an object of its own; was it the cache's, and not its twin's?
-    let mut ask = |c: &mut Client| {
-        asked += 1;
-        let fields = format!("call={asked:016x},ttl=3000,row={asked:016x},slice=0,set=17,heap=10.5");
-        c.send(&["REQ", &asked.to_string(), "media", &fields, ""]);
-        let (mut served, mine) = either(&at_cache, &at_twin);
+    let record = |id: u32, state: u8| list_record(id, state, cache);
+    let mut client = node.connect();
+    let mut last_request = 0;
+    // Requests another object each time. Returns whether the request came to the first cache node.
+    let mut request = |client: &mut Client| {
+        last_request += 1;
+        let fields =
+            format!("call={last_request:016x},ttl=3000,row={last_request:016x},slice=0,set=17,heap=10.5");
+        client.send(&["REQ", &last_request.to_string(), "media", &fields, ""]);
+        let (mut served, is_first) = next_at_either(&at_cache, &at_other);
         served.hit(b"x");
-        assert_eq!(c.answer()[1], "ok");
-        mine
+        assert_eq!(client.answer()[1], "ok");
+        is_first
     };
-    let told = |what: &str| counted(&node, what);
-    assert!((0..40).any(|_| ask(&mut c)), "it is used");
-    // Drains, told twice in one write; a list that is older than that is passed over.
-    let news = [frame(4, &record(EDGE, 1)), frame(5, &record(EDGE, 1)), frame(3, &record(EDGE, 0))].concat();
-    feed.write_all(&news).unwrap();
-    told("lists=3");
-    assert!(!(0..40).any(|_| ask(&mut c)), "not while it drains");
-    // Gone, and another at its address in the same event.
-    feed.write_all(&frame(6, &[record(EDGE, 2), record(EDGE + 100, 0)].concat())).unwrap();
-    told("lists=4");
-    assert!((0..40).any(|_| ask(&mut c)), "the one that came to its address is used");
+    assert!((0..40).any(|_| request(&mut client)), "the node is used");
+    // The drain comes twice in one write, and then a list that is older and must be ignored.
+    let events =
+        [list_frame(4, &record(EDGE, 1)), list_frame(5, &record(EDGE, 1)), list_frame(3, &record(EDGE, 0))]
+            .concat();
+    feed.write_all(&events).unwrap();
+    await_counter(&node, "lists=3");
+    assert!(!(0..40).any(|_| request(&mut client)), "the node is not used while it drains");
+    // One event removes the node and adds another at its address.
+    feed.write_all(&list_frame(6, &[record(EDGE, 2), record(EDGE + 100, 0)].concat())).unwrap();
+    await_counter(&node, "lists=4");
+    assert!((0..40).any(|_| request(&mut client)), "the new node at its address is used");
 }
 
-/// Two deployments beside each other with fronts of one name and one `$TMPDIR`: what is cordoned in one is not in the
-/// other, and the younger one is not taken for the elder's successor, so that this keeps its clients when it is told to end.
+/// Two deployments have fronts of the same name and share `$TMPDIR`. Guards against a cordon of one that
+/// holds in the other, and against a front that takes the other deployment's front, started later, for its
+/// successor and closes its clients' connections at once on SIGTERM.
 #[test]
-fn two_deployments_with_fronts_of_one_name_share_nothing_in_tmpdir() {
+fn fronts_of_one_name_in_two_deployments_share_no_state() {
     let tmp = std::env::temp_dir().join(format!("onyxyoke-crossing-tmp-{}", std::process::id()));
     std::fs::create_dir_all(&tmp).unwrap();
     let (cache, served) = cache_node();
     let start = |name: &str| {
         let members = vec![member(EDGE, "standard", cache), member(ORIGIN, "origin", cache)];
-        let free = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+        let free_address = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
         let node = Node::start_in(
             name,
             members,
             |config| {
                 config["admin_addr"] = json!("127.0.0.1:0");
-                config["listen"] = json!(free);
+                config["listen"] = json!(free_address);
             },
             Some(&tmp),
         );
@@ -266,121 +275,136 @@
         let admin: std::net::SocketAddr = line.rsplit(' ').next().unwrap().parse().unwrap();
         (node, admin)
     };
-    let call = |admin: std::net::SocketAddr, line: &str| {
+    let call = |admin: std::net::SocketAddr, command: &str| {
         let mut stream = TcpStream::connect(admin).unwrap();
         stream.set_read_timeout(Some(PATIENCE)).unwrap();
-        stream.write_all(format!("{line}\n").as_bytes()).unwrap();
-        let reply = String::from_utf8(rest(&mut stream).unwrap()).unwrap();
-        assert!(reply.ends_with('\n'), "'{line}' has an answer that was cut off: {reply:?}");
+        stream.write_all(format!("{command}\n").as_bytes()).unwrap();
+        let reply = String::from_utf8(read_to_end(&mut stream).unwrap()).unwrap();
+        assert!(reply.ends_with('\n'), "the reply to '{command}' was cut off: {reply:?}");
         reply
     };
-    let (mut first, admin) = start("crossing-first");
-    let (second, other) = start("crossing-second");
-    assert!(call(admin, &format!("cordon s-{EDGE:08x}")).starts_with("ok "));
-    // The other looks at what is kept before it carries out a call, and says what it finds.
-    assert_eq!(call(other, &format!("uncordon s-{EDGE:08x}")), format!("ok s-{EDGE:08x} was not cordoned\n"));
+    let (mut first, first_admin) = start("crossing-first");
+    let (second, second_admin) = start("crossing-second");
+    assert!(call(first_admin, &format!("cordon s-{EDGE:08x}")).starts_with("ok "));
+    // The second front reads the stored cordons before it carries out a command, and replies with what it
+    // found.
     assert_eq!(
-        call(admin, &format!("uncordon s-{EDGE:08x}")),
+        call(second_admin, &format!("uncordon s-{EDGE:08x}")),
+        format!("ok s-{EDGE:08x} was not cordoned\n")
+    );
+    assert_eq!(
+        call(first_admin, &format!("uncordon s-{EDGE:08x}")),
         format!("ok s-{EDGE:08x} uncordoned; it starts cold\n")
     );
-    // Told to end, with a process of the other deployment that started later: the door stays open in the closing window.
-    let mut before = first.connect();
+    // The first front, which has no successor, accepts new connections in its closing window.
+    let mut earlier = first.connect();
     first.signal("-TERM");
-    eventually("the closing", || {
-        before.send(&["HEALTH", "1", ""]);
-        before.answer()[1] == "no"
+    eventually("the closing window begins", || {
+        earlier.send(&["HEALTH", "1", ""]);
+        earlier.answer()[1] == "no"
     });
     let mut late = first.connect();
     late.ask("1", 0xb1, "");
     next(&served).hit(b"late");
     assert_eq!(late.answer()[1], "ok");
-    assert_eq!(at_exit(&mut first, "served"), 1);
+    assert_eq!(counter_at_exit(&mut first, "served"), 1);
     drop(second);
     std::fs::remove_dir_all(tmp).unwrap();
 }
 
-/// The counters say this.
-fn counted(node: &Node, what: &str) {
-    eventually(what, || {
+/// Waits until the front's counters contain this text.
+fn await_counter(node: &Node, text: &str) {
+    eventually(text, || {
         node.signal("-USR1");
-        format!("{} ", node.logged("counters")).contains(what)
+        format!("{} ", node.logged("counters")).contains(text)
     });
 }
 
-/// A client goes while its order waits for a connection that does not come up: when it does, nothing is written.
+/// A client disconnects while its attempt waits for a connection to the cache node. Guards against writing
+/// the attempt once the connection is established.
 #[test]
-fn an_order_whose_client_goes_while_its_connection_comes_up_is_not_written() {
-    let deaf = UnresponsiveClient::new();
-    let members = vec![member(EDGE, "standard", deaf.address()), member(ORIGIN, "origin", deaf.address())];
+fn attempt_of_a_disconnected_client_is_not_written_on_a_late_connection() {
+    let unresponsive = UnresponsiveClient::new();
+    let members = vec![
+        member(EDGE, "standard", unresponsive.address()),
+        member(ORIGIN, "origin", unresponsive.address()),
+    ];
     let mut node = Node::start("crossing-late-gone", members, |config| {
         config["settings"]["caps"]["connect-timeout"] = json!(10.0);
     });
-    let mut c = node.connect();
-    c.ask("1", 0xa1, "");
-    counted(&node, " sent=1 written=0 ");
-    drop(c);
-    counted(&node, " aborted=1 ");
-    let served = cache_node_at(deaf.hears());
+    let mut client = node.connect();
+    client.ask("1", 0xa1, "");
+    await_counter(&node, " sent=1 written=0 ");
+    drop(client);
+    await_counter(&node, " aborted=1 ");
+    let served = cache_node_at(unresponsive.hears());
     node.signal("-TERM");
-    assert_eq!(at_exit(&mut node, "written"), 0);
-    nothing(&served);
+    assert_eq!(counter_at_exit(&mut node, "written"), 0);
+    assert_no_command(&served);
 }
 
-/// The other order: the connection comes up late, and the client is still there.
+/// A connection to the cache node is established late, and the client still waits. Guards against dropping
+/// the attempt.
 #[test]
-fn an_order_is_written_on_a_connection_that_comes_up_late() {
-    let deaf = UnresponsiveClient::new();
-    let members = vec![member(EDGE, "standard", deaf.address()), member(ORIGIN, "origin", deaf.address())];
+fn attempt_of_a_waiting_client_is_written_on_a_late_connection() {
+    let unresponsive = UnresponsiveClient::new();
+    let members = vec![
+        member(EDGE, "standard", unresponsive.address()),
+        member(ORIGIN, "origin", unresponsive.address()),
+    ];
     let node = Node::start("crossing-late", members, |config| {
         config["settings"]["caps"]["connect-timeout"] = json!(10.0);
     });
-    let mut c = node.connect();
-    c.ask("1", 0xa1, "");
-    counted(&node, " sent=1 written=0 ");
-    let served = cache_node_at(deaf.hears());
+    let mut client = node.connect();
+    client.ask("1", 0xa1, "");
+    await_counter(&node, " sent=1 written=0 ");
+    let served = cache_node_at(unresponsive.hears());
     next(&served).hit(b"late");
-    assert_eq!(c.answer()[1], "ok");
+    assert_eq!(client.answer()[1], "ok");
 }
 
-/// A node drains while an order waits for its connection to come up: it is taken back, goes to another node, and the
-/// first gets nothing when its connections come up after all.
+/// A node drains while an attempt waits for a connection to it. Guards against leaving the attempt there: it
+/// must go to another node, and the first must get nothing when its connections are established after all.
 #[test]
-fn an_order_whose_node_drains_while_its_connection_comes_up_goes_elsewhere() {
-    let deaf = UnresponsiveClient::new();
+fn attempt_that_waits_for_a_connection_to_a_draining_node_goes_to_another() {
+    let unresponsive = UnresponsiveClient::new();
     let (other, at_other) = cache_node();
-    let members = vec![member(EDGE, "standard", deaf.address()), member(ORIGIN, "origin", other)];
+    let members = vec![member(EDGE, "standard", unresponsive.address()), member(ORIGIN, "origin", other)];
     let mut node = Node::start("crossing-late-drain", members, |config| {
         config["settings"]["caps"]["connect-timeout"] = json!(10.0);
     });
     let (_, mut feed) = node.feeds.recv_timeout(PATIENCE).unwrap();
-    let mut c = node.connect();
-    c.ask("1", 0xa1, "");
-    counted(&node, " sent=1 written=0 ");
-    let news = [record(EDGE, 1, deaf.address()), record(OTHER, 0, other)].concat();
-    feed.write_all(&list(4, &news)).unwrap();
+    let mut client = node.connect();
+    client.ask("1", 0xa1, "");
+    await_counter(&node, " sent=1 written=0 ");
+    let records = [list_record(EDGE, 1, unresponsive.address()), list_record(OTHER, 0, other)].concat();
+    feed.write_all(&list_frame(4, &records)).unwrap();
     next(&at_other).hit(b"elsewhere");
-    assert_eq!(c.answer()[3], "elsewhere");
-    let at_first = cache_node_at(deaf.hears());
+    assert_eq!(client.answer()[3], "elsewhere");
+    let first_served = cache_node_at(unresponsive.hears());
     node.signal("-TERM");
-    assert_eq!(at_exit(&mut node, "written"), 1);
-    nothing(&at_first);
+    assert_eq!(counter_at_exit(&mut node, "written"), 1);
+    assert_no_command(&first_served);
 }
 
-/// A change of the list with this number, as a frame, and an entry of it.
-fn list(number: u64, records: &[u8]) -> Vec<u8> {
+/// The frame of an event with this number that changes the list of nodes.
+fn list_frame(number: u64, records: &[u8]) -> Vec<u8> {
     [&(9 + records.len() as u32).to_be_bytes()[..], &number.to_be_bytes(), &[2], records].concat()
 }
 
-fn record(id: u32, state: u8, at: std::net::SocketAddr) -> Vec<u8> {
+/// The record of a node in a [`list_frame`].
+fn list_record(id: u32, state: u8, address: std::net::SocketAddr) -> Vec<u8> {
     let (zone, kind, cell) = ([1], [0], [0, 0]);
-    let head = [&id.to_be_bytes()[..], &[127, 0, 0, 1], &at.port().to_be_bytes(), &[state], &zone, &kind];
+    let head =
+        [&id.to_be_bytes()[..], &[127, 0, 0, 1], &address.port().to_be_bytes(), &[state], &zone, &kind];
     [head.concat(), cell.to_vec(), 8000u32.to_be_bytes().to_vec(), 0u64.to_be_bytes().to_vec()].concat()
 }
 
-/// Discovery moves by SIGHUP while an event of the old watch is half read: the new one is asked from the last whole event,
-/// and the rest of the half, which comes after that, is nobody's.
+/// SIGHUP changes the coordinator's address while the front has read half an event. Guards against an event
+/// that is lost or applied twice: the new watch starts from the last whole event, and the second half, which
+/// arrives on the old watch, is discarded.
 #[test]
-fn discovery_that_moves_while_an_event_is_half_read_tells_each_event_once() {
+fn coordinator_change_within_an_event_applies_each_event_once() {
     let (node, _served) = one_cache("crossing-moves");
     let (_, mut old) = node.feeds.recv_timeout(PATIENCE).unwrap();
     let purge = |number: u64| {
@@ -389,7 +413,7 @@
     };
     let fifth = purge(5);
     old.write_all(&[&purge(4)[..], &fifth[..12]].concat()).unwrap();
-    counted(&node, " purges=1 ");
+    await_counter(&node, " purges=1 ");
     let (new, feeds) = coordinator();
     let file = node.folder.join("config.json");
     let mut config: serde_json::Value = serde_json::from_slice(&std::fs::read(&file).unwrap()).unwrap();
@@ -397,24 +421,25 @@
     std::fs::write(&file, config.to_string()).unwrap();
     node.signal("-HUP");
     let (last, mut feed) = feeds.recv_timeout(PATIENCE).unwrap();
-    assert_eq!(last, 4, "the half one was not had");
+    assert_eq!(last, 4, "the partial event is not applied");
     let _ = old.write_all(&[&fifth[12..], &purge(6)].concat());
     feed.write_all(&[fifth, purge(6), purge(7)].concat()).unwrap();
-    counted(&node, " purges=4 ");
+    await_counter(&node, " purges=4 ");
 }
 
-/// A reload whose file has the classes renamed and in another order, while requests are open and after: names and figures
-/// in service stay as they were, whole, and the log says that they wait for the next start.
+/// A reload renames and reorders the classes while a request is in flight. Guards against mixing old and new
+/// names and settings: the classes in service must stay as they are until the next start, and the log must
+/// say so.
 #[test]
-fn a_reload_that_renames_and_reorders_classes_mixes_nothing() {
+fn reload_that_renames_and_reorders_classes_leaves_those_in_service() {
     let (node, served) = one_cache("crossing-classes");
-    let mut c = node.connect();
-    let ask = |c: &mut Client, tag: &str, class: &str| {
+    let mut client = node.connect();
+    let send_request = |client: &mut Client, tag: &str, class: &str| {
         let fields = format!("call=00000000000000{tag:0>2},ttl=9000,row={OBJECT},slice=0,set=17,heap=10.5");
-        c.send(&["REQ", tag, class, &fields, ""]);
+        client.send(&["REQ", tag, class, &fields, ""]);
     };
-    ask(&mut c, "1", "media");
-    let mut open = next(&served);
+    send_request(&mut client, "1", "media");
+    let mut in_flight = next(&served);
     let file = node.folder.join("config.json");
     let mut config: serde_json::Value = serde_json::from_slice(&std::fs::read(&file).unwrap()).unwrap();
     let profiles = config["settings"]["profiles"].as_array_mut().unwrap();
@@ -424,71 +449,75 @@
     std::fs::write(&file, config.to_string()).unwrap();
     node.signal("-HUP");
     assert!(node.logged("next start").contains("'settings.profiles'"));
-    open.hit(b"x");
-    assert_eq!(c.answer()[1], "ok");
-    // A class that now has the name of one that needs a key, and one of a name that only the file has.
-    ask(&mut c, "2", "media");
-    let mut asked = next(&served);
-    assert_eq!(asked.field("sort"), Some("media"));
-    let patience: u32 = asked.field("patience").unwrap().parse().unwrap();
-    assert!((4_000..=5_000).contains(&patience), "its deadline is that of before: {patience}");
-    asked.hit(b"x");
-    assert_eq!(c.answer()[1], "ok");
-    ask(&mut c, "3", "other");
-    assert_eq!(c.answer()[1], "fault", "nobody has heard of that class");
-    ask(&mut c, "4", "holds");
-    assert_eq!(c.answer()[1], "fault", "which needs a key, whatever the file says by now");
+    in_flight.hit(b"x");
+    assert_eq!(client.answer()[1], "ok");
+    // In the file this name now belongs to a class that needs a key.
+    send_request(&mut client, "2", "media");
+    let mut request = next(&served);
+    assert_eq!(request.field("sort"), Some("media"));
+    let patience: u32 = request.field("patience").unwrap().parse().unwrap();
+    assert!((4_000..=5_000).contains(&patience), "the deadline is the one before the reload: {patience}");
+    request.hit(b"x");
+    assert_eq!(client.answer()[1], "ok");
+    send_request(&mut client, "3", "other");
+    assert_eq!(client.answer()[1], "fault", "a class that only the file has is unknown");
+    send_request(&mut client, "4", "holds");
+    assert_eq!(client.answer()[1], "fault", "the class still needs a key");
 }
 
-/// Idle clients, half lines and floods from clients that go hold all that clients may have of 192 descriptors while discovery
-/// is down, and more keep coming: operators are answered, nothing spins, and the front serves by the new list within a
-/// second of discovery's return.
+/// While the coordinator is down, idle clients, partial requests and floods from clients that leave take all
+/// connection slots of a front with 192 descriptors, and more clients connect. Guards against running out of
+/// descriptors for operators and the coordinator, and against a busy loop: operators are answered, and the
+/// front serves requests within a second of the coordinator's return.
 #[test]
-fn with_all_clients_places_taken_discovery_that_returns_is_heard_and_served_by() {
+fn front_with_all_slots_taken_recovers_when_the_coordinator_returns() {
     let (cache, served) = cache_node();
-    let deaf = UnresponsiveClient::new();
+    let unresponsive = UnresponsiveClient::new();
     let node = Node::start("crossing-full", Vec::new(), |config| {
         config["admin_addr"] = json!("127.0.0.1:0");
         config["limits"]["sockets"] = json!(192);
-        config["coordinator"] = json!(deaf.address());
+        config["coordinator"] = json!(unresponsive.address());
     });
     let line = node.logged("answers operators on");
     let admin: std::net::SocketAddr = line.rsplit(' ').next().unwrap().parse().unwrap();
     let limit = ["--nofile=192:192", "--pid", &node.child.id().to_string()].map(String::from);
     assert!(std::process::Command::new("prlimit").args(limit).status().unwrap().success());
-    let mut crowd = Vec::new();
+    let mut clients = Vec::new();
     for i in 0..400 {
         let Ok(mut stream) = TcpStream::connect(node.address) else { continue };
         let _ = match i % 4 {
-            0 => stream.write_all(&request(1, i)[..30]),
-            1 => stream.write_all(&request(1, i).repeat(50)),
+            0 => stream.write_all(&request_frame(1, i)[..30]),
+            1 => stream.write_all(&request_frame(1, i).repeat(50)),
             _ => Ok(()),
         };
-        // Every fourth goes at once, with what it sent ahead unread.
+        // Every fourth client disconnects at once, while the front has not read what it sent.
         if i % 4 != 1 {
-            crowd.push(stream);
+            clients.push(stream);
         }
     }
-    let busy = |node: &Node| {
+    let processor_ns = |node: &Node| {
         let stat = std::fs::read_to_string(format!("/proc/{}/schedstat", node.child.id())).unwrap();
         stat.split(' ').next().unwrap().parse::<u64>().unwrap()
     };
-    let (began, before) = (Instant::now(), busy(&node));
+    let (began, processor_ns_before) = (Instant::now(), processor_ns(&node));
     for _ in 0..5 {
-        let asked = Instant::now();
+        let sent_at = Instant::now();
         let mut stream = TcpStream::connect(admin).unwrap();
         stream.set_read_timeout(Some(PATIENCE)).unwrap();
         stream.write_all(b"health\n").unwrap();
-        let reply = rest(&mut stream).unwrap();
-        assert!(reply.starts_with(b"fail no") && reply.ends_with(b"\n"), "it has no cache yet: {reply:?}");
-        assert!(asked.elapsed() < Duration::from_secs(1), "{:?}", asked.elapsed());
+        let reply = read_to_end(&mut stream).unwrap();
+        assert!(
+            reply.starts_with(b"fail no") && reply.ends_with(b"\n"),
+            "the front has no cache node yet: {reply:?}"
+        );
+        assert!(sent_at.elapsed() < Duration::from_secs(1), "{:?}", sent_at.elapsed());
     }
     node.logged("no connection in");
-    let share = (busy(&node) - before) as f64 / began.elapsed().as_nanos() as f64;
-    assert!(share < 0.5, "it takes {share:.2} of a core with nothing to do");
-    // Discovery is back, with one cache.
-    let listener = deaf.hears();
-    let back = Instant::now();
+    let core_share = (processor_ns(&node) - processor_ns_before) as f64 / began.elapsed().as_nanos() as f64;
+    assert!(core_share < 0.5, "the front uses {core_share:.2} of a core with nothing to do");
+    // The coordinator returns, with one cache node.
+    let listener = unresponsive.hears();
+    let returned_at = Instant::now();
     let mut feed = loop {
         let (mut stream, _) = listener.accept().unwrap();
         stream.set_read_timeout(Some(PATIENCE)).unwrap();
@@ -496,32 +525,36 @@
             break stream;
         }
     };
-    let mut origin = record(ORIGIN, 0, cache);
-    // Zone and kind.
+    let mut origin = list_record(ORIGIN, 0, cache);
+    // Its zone and its kind.
     (origin[11], origin[12]) = (0, 2);
-    feed.write_all(&list(4, &[record(EDGE, 0, cache), origin].concat())).unwrap();
-    let mut c = node.connect();
+    feed.write_all(&list_frame(4, &[list_record(EDGE, 0, cache), origin].concat())).unwrap();
+    let mut client = node.connect();
     let mut tag = 0;
-    // Refused until the list is heard.
+    // The front refuses requests until it has the list.
     loop {
         tag += 1;
         let fields = format!("call={tag:016x},ttl=3000,row={OBJECT},slice=0,set=17,heap=10.5");
-        c.send(&["REQ", &tag.to_string(), "media", &fields, ""]);
-        if let Ok(mut asked) = served.recv_timeout(Duration::from_millis(20)) {
-            asked.hit(b"again");
-            while c.answer()[1] != "ok" {}
+        client.send(&["REQ", &tag.to_string(), "media", &fields, ""]);
+        if let Ok(mut request) = served.recv_timeout(Duration::from_millis(20)) {
+            request.hit(b"again");
+            while client.answer()[1] != "ok" {}
             break;
         }
-        assert!(back.elapsed() < PATIENCE, "it does not serve again");
+        assert!(returned_at.elapsed() < PATIENCE, "the front serves no request");
     }
-    assert!(back.elapsed() < Duration::from_secs(1), "served {:?} after discovery's return", back.elapsed());
-    drop(crowd);
+    assert!(
+        returned_at.elapsed() < Duration::from_secs(1),
+        "served {:?} after the coordinator's return",
+        returned_at.elapsed()
+    );
+    drop(clients);
 }
 
-/// SIGTERM comes while the program reads its file, which is a pipe here that the test holds open: the end is in order,
-/// whatever the rest of the start would have done.
+/// SIGTERM arrives while the program reads its configuration file, a pipe that the test keeps open. Guards
+/// against losing the signal during startup, and against an exit with an error.
 #[test]
-fn sigterm_while_the_file_is_read_ends_the_program_in_order() {
+fn sigterm_while_the_configuration_is_read_ends_the_program_in_order() {
     let folder = std::env::temp_dir().join(format!("onyxyoke-crossing-pipe-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let pipe = folder.join("config.json");
@@ -532,16 +565,16 @@
         .env("NODE_CONFIG", &pipe)
         .spawn()
         .unwrap();
-    // This goes on once the program has opened its end.
-    let mut end = std::fs::OpenOptions::new().write(true).open(&pipe).unwrap();
+    // Opening the pipe blocks until the program has opened its end.
+    let mut pipe_writer = std::fs::OpenOptions::new().write(true).open(&pipe).unwrap();
     let kill = ["-TERM", &child.id().to_string()].map(String::from);
     assert!(std::process::Command::new("kill").args(kill).status().unwrap().success());
     let (coordinator, _feeds) = coordinator();
     let config = json!({"name": "n0", "listen": "127.0.0.1:0", "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "coordinator": coordinator,
         "known": {"index": 0, "updates": []}, "settings": settings()});
-    end.write_all(config.to_string().as_bytes()).unwrap();
-    drop(end);
+    pipe_writer.write_all(config.to_string().as_bytes()).unwrap();
+    drop(pipe_writer);
     assert_eq!(child.wait().unwrap().code(), Some(0));
     std::fs::remove_dir_all(folder).unwrap();
 }
