--- a/tests/closing.rs
+++ b/tests/closing.rs
@@ -19,7 +19,7 @@
 /// A front with one cache node, and a client that has not read its answer. The kernel holds all of the
 /// answer; the front has nothing more to send.
 struct UnreadAnswer {
-    node: Node,
+    front: Node,
     served: Receiver<Served>,
     client: Client,
 }
@@ -28,21 +28,21 @@
     fn start(name: &str, change: impl Fn(&mut Value)) -> UnreadAnswer {
         let (cache, served) = cache_node();
         let members = vec![member(EDGE, "standard", cache), member(ORIGIN, "origin", cache)];
-        let node = Node::start(name, members, change);
-        let client = Client::new(narrow(node.address));
-        UnreadAnswer::request(node, served, client)
+        let front = Node::start(name, members, change);
+        let client = Client::new(narrow(front.address));
+        UnreadAnswer::request(front, served, client)
     }
 
     /// Sends a request and waits until the front has passed the whole answer to the kernel.
-    fn request(node: Node, served: Receiver<Served>, mut client: Client) -> UnreadAnswer {
+    fn request(front: Node, served: Receiver<Served>, mut client: Client) -> UnreadAnswer {
         hold(&mut client, 1);
         next(&served).hit(&vec![b'y'; LARGE_BODY_BYTES]);
         eventually("the front counts the answer", || {
-            node.signal("-USR1");
-            node.logged("counters").contains(" served=1 ")
+            front.signal("-USR1");
+            front.logged("counters").contains(" served=1 ")
         });
-        eventually("the kernel has the whole answer", || node.accounts()["unread.now"] == 0.0);
-        UnreadAnswer { node, served, client }
+        eventually("the kernel has the whole answer", || front.accounts()["unread.now"] == 0.0);
+        UnreadAnswer { front, served, client }
     }
 
     /// Has the client send a second request before it reads, and checks that both answers arrive whole.
@@ -62,9 +62,9 @@
 #[test]
 fn scarce_memory_keeps_connections_with_unread_answers() {
     let unread = UnreadAnswer::start("closing-scarce", |_| ());
-    let mut idle = idle_client(&unread.node);
+    let mut idle = idle_client(&unread.front);
     // Less than the program needs by itself, so that none of the shared memory is free.
-    unread.node.reload(|config| config["limits"]["memory_mb"] = json!(4));
+    unread.front.reload(|config| config["limits"]["memory_mb"] = json!(4));
     assert!(idle.closed(), "a connection that became idle later is closed");
     unread.assert_both_answers_arrive();
 }
@@ -73,11 +73,11 @@
 /// they would stay open until their idle timeout.
 #[test]
 fn scarce_memory_closes_idle_connections_without_new_connections() {
-    let (node, _served) = one_cache("closing-relief");
-    let (mut idle, mut waiting) = (idle_client(&node), node.connect());
+    let (front, _served) = one_cache("closing-relief");
+    let (mut idle, mut waiting) = (idle_client(&front), front.connect());
     // The cache node never answers this request, so the front fails it after 3 s: the test's clock.
     hold(&mut waiting, 1);
-    node.reload(|config| config["limits"]["memory_mb"] = json!(4));
+    front.reload(|config| config["limits"]["memory_mb"] = json!(4));
     assert_eq!(waiting.answer()[0], "1");
     assert!(is_closed(&mut idle));
 }
@@ -85,11 +85,11 @@
 /// Guards against scarce memory that closes a new connection before its client could send a request.
 #[test]
 fn scarce_memory_keeps_connections_that_were_just_opened() {
-    let (node, served) = one_cache("closing-new");
-    let mut idle = [idle_client(&node), idle_client(&node)];
-    node.reload(|config| config["limits"]["memory_mb"] = json!(4));
+    let (front, served) = one_cache("closing-new");
+    let mut idle = [idle_client(&front), idle_client(&front)];
+    front.reload(|config| config["limits"]["memory_mb"] = json!(4));
     assert!(idle[0].closed());
-    let mut fresh = node.connect();
+    let mut fresh = front.connect();
     assert!(idle[1].closed());
     hold(&mut fresh, 1);
     next(&served).hit(b"first");
@@ -100,11 +100,11 @@
 /// connection needs. Guards against refusing the new connection because evicting one is not enough.
 #[test]
 fn idle_connections_beyond_a_lowered_memory_limit_are_evicted_for_a_new_connection() {
-    let (node, served) = one_cache("closing-cut");
-    let idle_clients: Vec<Client> = (0..60).map(|_| idle_client(&node)).collect();
-    node.reload(|config| config["limits"]["memory_mb"] = json!(4));
-    node.logged("the settings are in force");
-    let mut fresh = node.connect();
+    let (front, served) = one_cache("closing-cut");
+    let idle_clients: Vec<Client> = (0..60).map(|_| idle_client(&front)).collect();
+    front.reload(|config| config["limits"]["memory_mb"] = json!(4));
+    front.logged("the settings are in force");
+    let mut fresh = front.connect();
     hold(&mut fresh, 1);
     next(&served).hit(b"first");
     assert_eq!(fresh.answer()[1], "ok");
@@ -116,10 +116,10 @@
 #[test]
 fn slot_eviction_keeps_connections_with_unread_answers() {
     let unread = UnreadAnswer::start("closing-crowd", |config| config["limits"]["sockets"] = json!(64));
-    let mut idle = idle_client(&unread.node);
+    let mut idle = idle_client(&unread.front);
     let mut new_clients = Vec::new();
     eventually("a connection that became idle later is closed", || {
-        new_clients.push(idle_client(&unread.node));
+        new_clients.push(idle_client(&unread.front));
         is_closed(&mut idle)
     });
     unread.assert_both_answers_arrive();
@@ -129,7 +129,7 @@
 #[test]
 fn idle_timeout_keeps_connections_with_unread_answers() {
     let unread = UnreadAnswer::start("closing-idle", |_| ());
-    let mut idle = idle_client(&unread.node);
+    let mut idle = idle_client(&unread.front);
     assert!(idle.closed(), "a connection that became idle later is closed");
     unread.assert_both_answers_arrive();
 }
@@ -139,8 +139,8 @@
 #[test]
 fn shutdown_keeps_connections_with_unread_answers() {
     let unread = UnreadAnswer::start("closing-end", |_| ());
-    let mut idle = idle_client(&unread.node);
-    unread.node.signal("-TERM");
+    let mut idle = idle_client(&unread.front);
+    unread.front.signal("-TERM");
     assert!(idle.closed(), "an idle connection is closed");
     unread.assert_both_answers_arrive();
 }
@@ -150,9 +150,9 @@
 #[test]
 fn replaced_front_keeps_connections_with_unread_answers() {
     let tmp = std::env::temp_dir().join(format!("onyxyoke-tmp-replaced-{}", std::process::id()));
-    let unread = start_replaceable(&tmp, "closing-replaced", |node| narrow(node.address));
-    let mut silent = unread.node.connect();
-    replaced(&unread.node, &tmp);
+    let unread = start_replaceable(&tmp, "closing-replaced", |front| narrow(front.address));
+    let mut silent = unread.front.connect();
+    replaced(&unread.front, &tmp);
     assert!(silent.closed(), "a connection without any request is closed");
     unread.assert_both_answers_arrive();
     std::fs::remove_dir_all(tmp).unwrap();
@@ -167,9 +167,9 @@
     for round in 0..5 {
         let began = Instant::now();
         let name = format!("closing-just-sent-{round}");
-        let unread = start_replaceable(&tmp, &name, |node| TcpStream::connect(node.address).unwrap());
-        let mut silent = unread.node.connect();
-        replaced(&unread.node, &tmp);
+        let unread = start_replaceable(&tmp, &name, |front| TcpStream::connect(front.address).unwrap());
+        let mut silent = unread.front.connect();
+        replaced(&unread.front, &tmp);
         assert!(silent.closed(), "a connection without any request is closed");
         if began.elapsed() < TIME_TO_READ {
             unread.assert_both_answers_arrive();
@@ -190,7 +190,7 @@
     let (cache, served) = cache_node();
     let members = vec![member(EDGE, "standard", cache), member(ORIGIN, "origin", cache)];
     let admin_on = |config: &mut Value| config["admin_addr"] = json!("127.0.0.1:0");
-    let node = Node::start_in(name, members, admin_on, Some(tmp));
-    let client = Client::new(connect(&node));
-    UnreadAnswer::request(node, served, client)
+    let front = Node::start_in(name, members, admin_on, Some(tmp));
+    let client = Client::new(connect(&front));
+    UnreadAnswer::request(front, served, client)
 }
--- a/tests/closing_busy.rs
+++ b/tests/closing_busy.rs
@@ -32,8 +32,8 @@
 
 /// Sends requests without a pause, and SIGTERM to the front, until the front closes the connection in order.
 /// Returns how many answers of each kind the client got.
-fn request_until_closed(node: &Node) -> BTreeMap<String, u64> {
-    let mut client = node.connect();
+fn request_until_closed(front: &Node) -> BTreeMap<String, u64> {
+    let mut client = front.connect();
     let mut answers = BTreeMap::new();
     (1..=IN_FLIGHT).for_each(|tag| client.ask(&tag.to_string(), tag, ""));
     let mut last_tag = IN_FLIGHT;
@@ -41,7 +41,7 @@
         let word = client.answer().swap_remove(1);
         *answers.entry(word).or_default() += 1;
         if last_tag == IN_FLIGHT {
-            node.signal("-TERM");
+            front.signal("-TERM");
         }
         last_tag += 1;
         client.ask(&last_tag.to_string(), last_tag, "");
@@ -53,10 +53,10 @@
 /// would go on failing its requests (for 0.3 s), though a successor or another front could serve them.
 #[test]
 fn busy_connection_is_refused_and_closed_at_shutdown() {
-    let (mut node, served) = one_cache("closing-busy");
+    let (mut front, served) = one_cache("closing-busy");
     answer_one_behind(served);
-    let answers = request_until_closed(&node);
-    assert!(node.child.wait().unwrap().success());
+    let answers = request_until_closed(&front);
+    assert!(front.child.wait().unwrap().success());
     let count = |word: &str| answers.get(word).copied().unwrap_or_default();
     assert!(count("ok") > IN_FLIGHT, "{answers:?}");
     assert_eq!(count("fault"), 0, "{answers:?}");
--- a/tests/closing_crossings.rs
+++ b/tests/closing_crossings.rs
@@ -41,12 +41,12 @@
 
 /// Starts a front whose memory is scarce once it has an idle connection.
 fn start_with_scarce_memory(name: &str) -> (Node, Receiver<Served>) {
-    let (node, served) = one_cache(name);
-    let mut idle = idle_client(&node);
+    let (front, served) = one_cache(name);
+    let mut idle = idle_client(&front);
     // Less than the program needs by itself, so that none of the shared memory is free.
-    node.reload(|config| config["limits"]["memory_mb"] = json!(4));
+    front.reload(|config| config["limits"]["memory_mb"] = json!(4));
     assert!(idle.closed(), "scarce memory closes idle connections");
-    (node, served)
+    (front, served)
 }
 
 /// How many of these connections the front has closed.
@@ -62,11 +62,11 @@
 }
 
 /// Waits until the front has counted this many served requests.
-fn await_served_count(node: &Node, served: u64) {
+fn await_served_count(front: &Node, served: u64) {
     let counter = format!(" served={served} ");
     eventually("the front counts the answer", || {
-        node.signal("-USR1");
-        node.logged("counters").contains(&counter)
+        front.signal("-USR1");
+        front.logged("counters").contains(&counter)
     });
 }
 
@@ -78,17 +78,17 @@
 /// Opens idle connections under scarce memory, and sends these bytes on the first of them just before the
 /// front makes a close request for it. Returns the first and the later connections, or `None` if the machine
 /// was too slow.
-fn send_during_close_request(node: &Node, bytes: &[u8]) -> Option<(Client, Vec<Client>)> {
+fn send_during_close_request(front: &Node, bytes: &[u8]) -> Option<(Client, Vec<Client>)> {
     let began = Instant::now();
-    let mut first = idle_client(node);
-    let later = (0..IDLE_CLIENTS).map(|_| idle_client(node)).collect();
-    let new_connection = at_once(node, || {
+    let mut first = idle_client(front);
+    let later = (0..IDLE_CLIENTS).map(|_| idle_client(front)).collect();
+    let new_connection = at_once(front, || {
         let in_time = began.elapsed() < IDLE_GRACE;
         let stopped = Instant::now();
         eventually("all have been idle for the grace period", || stopped.elapsed() > IDLE_GRACE);
         // The front finds the new connection first, which makes it check its idle connections, and then these
         // bytes.
-        let new_connection = TcpStream::connect(node.address).unwrap();
+        let new_connection = TcpStream::connect(front.address).unwrap();
         first.stream.write_all(bytes).unwrap();
         in_time.then_some(new_connection)
     })?;
@@ -101,11 +101,11 @@
 #[test]
 fn request_during_close_request_leaves_time_to_read_its_answer() {
     in_time(|round| {
-        let (node, served) = start_with_scarce_memory(&format!("closing-asked-{round}"));
-        let (mut client, mut later) = send_during_close_request(&node, hold_frame(1).as_bytes())?;
+        let (front, served) = start_with_scarce_memory(&format!("closing-asked-{round}"));
+        let (mut client, mut later) = send_during_close_request(&front, hold_frame(1).as_bytes())?;
         let began = Instant::now();
         next(&served).hit(b"first");
-        await_served_count(&node, 1);
+        await_served_count(&front, 1);
         await_two_more_closes(&mut later);
         if began.elapsed() > IDLE_GRACE {
             return None;
@@ -123,10 +123,10 @@
 #[test]
 fn partial_request_during_close_request_is_completed_and_answered() {
     in_time(|round| {
-        let (node, served) = start_with_scarce_memory(&format!("closing-half-asked-{round}"));
+        let (front, served) = start_with_scarce_memory(&format!("closing-half-asked-{round}"));
         let whole = hold_frame(1).into_bytes();
         let (first_half, second_half) = whole.split_at(whole.len() / 2);
-        let (mut client, mut later) = send_during_close_request(&node, first_half)?;
+        let (mut client, mut later) = send_during_close_request(&front, first_half)?;
         let began = Instant::now();
         await_two_more_closes(&mut later);
         if began.elapsed() > IDLE_GRACE {
@@ -140,13 +140,13 @@
 }
 
 /// A client that has sent the first half of a request, which the front has read; and the second half.
-fn send_half_a_request(node: &Node) -> (Client, Vec<u8>) {
-    let mut client = idle_client(node);
+fn send_half_a_request(front: &Node) -> (Client, Vec<u8>) {
+    let mut client = idle_client(front);
     let whole = hold_frame(1).into_bytes();
     let (first_half, second_half) = whole.split_at(whole.len() / 2);
     client.stream.write_all(first_half).unwrap();
     // The front answers another client only after it has read the first half.
-    drop(idle_client(node));
+    drop(idle_client(front));
     (client, second_half.to_vec())
 }
 
@@ -154,10 +154,10 @@
 #[test]
 fn scarce_memory_keeps_connections_with_partial_requests() {
     in_time(|round| {
-        let (node, served) = start_with_scarce_memory(&format!("closing-half-scarce-{round}"));
+        let (front, served) = start_with_scarce_memory(&format!("closing-half-scarce-{round}"));
         let began = Instant::now();
-        let (mut client, second_half) = send_half_a_request(&node);
-        let mut idle = idle_client(&node);
+        let (mut client, second_half) = send_half_a_request(&front);
+        let mut idle = idle_client(&front);
         assert!(idle.closed(), "a connection that became idle later is closed");
         client.stream.write_all(&second_half).unwrap();
         if began.elapsed() > FRAME_TIMEOUT {
@@ -180,12 +180,12 @@
 #[test]
 fn slot_eviction_keeps_connections_with_partial_requests() {
     in_time(|round| {
-        let (node, served) = start_with_few_slots(&format!("closing-half-crowd-{round}"));
+        let (front, served) = start_with_few_slots(&format!("closing-half-crowd-{round}"));
         let began = Instant::now();
-        let (mut client, second_half) = send_half_a_request(&node);
-        let (mut idle, mut new_clients) = (idle_client(&node), Vec::new());
+        let (mut client, second_half) = send_half_a_request(&front);
+        let (mut idle, mut new_clients) = (idle_client(&front), Vec::new());
         eventually("a connection that became idle later is closed", || {
-            new_clients.push(idle_client(&node));
+            new_clients.push(idle_client(&front));
             is_closed(&mut idle)
         });
         if began.elapsed() > FRAME_TIMEOUT {
@@ -208,28 +208,28 @@
 
 /// Sends requests until the kernel's send buffer is full and the front holds the rest of the answers.
 /// Returns the number of requests.
-fn fill_send_buffer(node: &Node, served: &Receiver<Served>, client: &mut Client) -> u64 {
+fn fill_send_buffer(front: &Node, served: &Receiver<Served>, client: &mut Client) -> u64 {
     let is_full = |number: &u64| {
         hold(client, *number);
         let mut body = vec![b'y'; LARGE_BODY_BYTES - end_mark(*number).len()];
         body.extend(end_mark(*number).bytes());
         next(served).hit(&body);
-        await_served_count(node, *number);
-        (0..FULL_BUFFER_CHECKS).all(|_| node.accounts()["unread.now"] > LARGE_BODY_BYTES as f64)
+        await_served_count(front, *number);
+        (0..FULL_BUFFER_CHECKS).all(|_| front.accounts()["unread.now"] > LARGE_BODY_BYTES as f64)
     };
     (1..=MAX_ANSWERS).find(is_full).expect("the send buffer took all answers")
 }
 
 /// Reads a little, waits for the front to print its counters, and so on, until the front logs that it closes
 /// the connection or the time in which it would have done so is over.
-fn read_slowly(node: &Node, stream: &mut TcpStream) -> Vec<u8> {
+fn read_slowly(front: &Node, stream: &mut TcpStream) -> Vec<u8> {
     let (mut all, mut buffer) = (Vec::new(), [0; SLOW_READ_BYTES]);
     let began = Instant::now();
     while began.elapsed() < SLOW_READ_FOR {
         let n = stream.read(&mut buffer).unwrap();
         all.extend_from_slice(&buffer[..n]);
-        node.signal("-USR1");
-        let mut lines = node.log.iter().take_while(|line| !line.contains("memory total="));
+        front.signal("-USR1");
+        let mut lines = front.log.iter().take_while(|line| !line.contains("memory total="));
         if lines.any(|line| line.contains("no array")) {
             break;
         }
@@ -241,12 +241,12 @@
 /// and reads the rest. Checks that each answer arrives whole.
 fn assert_answers_arrive_after_invalid_command(name: &str, further: &[u8]) {
     in_time(|round| {
-        let (node, served) = one_cache(&format!("{name}-{round}"));
-        let mut client = Client::new(narrow(node.address));
-        let requests = fill_send_buffer(&node, &served, &mut client);
+        let (front, served) = one_cache(&format!("{name}-{round}"));
+        let mut client = Client::new(narrow(front.address));
+        let requests = fill_send_buffer(&front, &served, &mut client);
         let began = Instant::now();
         client.stream.write_all(INVALID_COMMAND).unwrap();
-        let mut all = read_slowly(&node, &mut client.stream);
+        let mut all = read_slowly(&front, &mut client.stream);
         client.stream.write_all(further).unwrap();
         let end = client.stream.read_to_end(&mut all).map_err(|e| e.kind());
         if began.elapsed() > FLUSH_TIMEOUT {
@@ -277,9 +277,9 @@
 }
 
 /// Clients with one request in flight each.
-fn active_clients(node: &Node, served: &Receiver<Served>, count: usize) -> Vec<Client> {
+fn active_clients(front: &Node, served: &Receiver<Served>, count: usize) -> Vec<Client> {
     let clients = (0..count).map(|i| {
-        let mut client = node.connect();
+        let mut client = front.connect();
         hold(&mut client, i as u64 + 1);
         // The cache node answers none of these requests.
         drop(next(served));
@@ -301,8 +301,8 @@
 
 /// Opens a connection and sends a request. Returns the connection if the request reaches the cache node, and
 /// `None` if the front closes the connection instead.
-fn request_on_new_connection(node: &Node, served: &Receiver<Served>, tag: u64) -> Option<TcpStream> {
-    let mut stream = TcpStream::connect(node.address).unwrap();
+fn request_on_new_connection(front: &Node, served: &Receiver<Served>, tag: u64) -> Option<TcpStream> {
+    let mut stream = TcpStream::connect(front.address).unwrap();
     // This fails if the front has closed the connection already.
     let _ = stream.write_all(hold_frame(tag).as_bytes());
     stream.set_nonblocking(true).unwrap();
@@ -318,12 +318,12 @@
 /// how many of the new connections that then arrive one after another are served, or `None` if the machine
 /// was too slow.
 fn count_served_new_connections(name: &str, use_last: impl Fn(Client)) -> Option<usize> {
-    let (node, served) = start_with_few_slots(name);
+    let (front, served) = start_with_few_slots(name);
     let began = Instant::now();
-    let active = active_clients(&node, &served, SLOTS - 1);
-    use_last(idle_client(&node));
+    let active = active_clients(&front, &served, SLOTS - 1);
+    use_last(idle_client(&front));
     let new_connections: Vec<_> =
-        (0..NEW_CONNECTIONS).map(|i| request_on_new_connection(&node, &served, 100 + i)).collect();
+        (0..NEW_CONNECTIONS).map(|i| request_on_new_connection(&front, &served, 100 + i)).collect();
     drop(active);
     (began.elapsed() < IN_FLIGHT_FOR).then(|| new_connections.iter().flatten().count())
 }
@@ -360,9 +360,9 @@
 /// both, or more than two.
 #[test]
 fn two_simultaneous_connections_evict_two_idle_ones() {
-    let (node, _served) = start_with_few_slots("closing-two");
-    let mut clients: Vec<Client> = (0..SLOTS).map(|_| idle_client(&node)).collect();
-    let new_clients = at_once(&node, || [node.connect(), node.connect()]);
+    let (front, _served) = start_with_few_slots("closing-two");
+    let mut clients: Vec<Client> = (0..SLOTS).map(|_| idle_client(&front)).collect();
+    let new_clients = at_once(&front, || [front.connect(), front.connect()]);
     clients.extend(new_clients);
     eventually("two connections are closed", || closed_count(&mut clients) >= 2);
     let open = clients.iter_mut().filter_map(|client| (!is_closed(client)).then_some(client));
@@ -379,15 +379,15 @@
 #[test]
 fn lingering_connection_frees_its_slot_for_a_new_connection() {
     in_time(|round| {
-        let (node, served) = start_with_few_slots(&format!("closing-lingers-{round}"));
+        let (front, served) = start_with_few_slots(&format!("closing-lingers-{round}"));
         let began = Instant::now();
-        let mut idle = idle_client(&node);
-        let active = active_clients(&node, &served, SLOTS - 2);
-        let mut lingering = node.connect();
+        let mut idle = idle_client(&front);
+        let active = active_clients(&front, &served, SLOTS - 2);
+        let mut lingering = front.connect();
         lingering.stream.write_all(INVALID_COMMAND).unwrap();
         assert!(lingering.closed(), "the front closes its side, and the client's side is still open");
-        let new_connection = request_on_new_connection(&node, &served, 100);
-        node.logged("no array");
+        let new_connection = request_on_new_connection(&front, &served, 100);
+        front.logged("no array");
         let idle_closed = is_closed(&mut idle);
         drop(active);
         if began.elapsed() > IN_FLIGHT_FOR {
--- a/tests/closing_places.rs
+++ b/tests/closing_places.rs
@@ -37,24 +37,24 @@
 fn simultaneous_connections_with_requests_stay_within_the_descriptor_limit() {
     let (cache, served) = cache_node();
     let members = vec![member(EDGE, "standard", cache), member(ORIGIN, "origin", cache)];
-    let node = Node::start("places-crowd", members, |config| config["limits"]["sockets"] = json!(SOCKETS));
+    let front = Node::start("places-crowd", members, |config| config["limits"]["sockets"] = json!(SOCKETS));
     // The front now has its connection to the cache node and all other descriptors that it opens by itself.
-    let mut first = node.connect();
+    let mut first = front.connect();
     hold(&mut first, 1);
     next(&served).hit(b"first");
     first.answer();
-    node.signal("-STOP");
+    front.signal("-STOP");
     let mut clients: Vec<Client> = (0..MANY_CONNECTIONS)
         .map(|number| {
-            let mut client = node.connect();
+            let mut client = front.connect();
             hold(&mut client, 2 + number);
             client
         })
         .collect();
-    node.signal("-CONT");
+    front.signal("-CONT");
     let (mut max_open, mut requests) = (0, Vec::new());
     eventually("each connection has been accepted or closed", || {
-        let open = std::fs::read_dir(format!("/proc/{}/fd", node.child.id())).unwrap().count();
+        let open = std::fs::read_dir(format!("/proc/{}/fd", front.child.id())).unwrap().count();
         max_open = max_open.max(open);
         requests.extend(served.try_iter());
         let ended = clients.iter_mut().filter(|client| {
@@ -76,8 +76,8 @@
 fn flooding_client_is_evicted_for_a_new_connection() {
     let (cache, _served) = cache_node();
     let members = vec![member(EDGE, "standard", cache), member(ORIGIN, "origin", cache)];
-    let node = Node::start("places-flood", members, |config| config["limits"]["sockets"] = json!(8));
-    let flooder = node.connect().stream;
+    let front = Node::start("places-flood", members, |config| config["limits"]["sockets"] = json!(8));
+    let flooder = front.connect().stream;
     let (mut writes, mut reads) = (flooder.try_clone().unwrap(), flooder);
     let flooding = thread::spawn(move || {
         let frame = b"*5\r\n$3\r\nREQ\r\n$1\r\n1\r\n$2\r\nno\r\n$1\r\n-\r\n$0\r\n\r\n".repeat(100);
@@ -85,19 +85,19 @@
     });
     let reading = thread::spawn(move || while reads.read(&mut [0; 4096]).is_ok_and(|n| n > 0) {});
     let processor_s = || {
-        let stat = std::fs::read_to_string(format!("/proc/{}/schedstat", node.child.id())).unwrap();
+        let stat = std::fs::read_to_string(format!("/proc/{}/schedstat", front.child.id())).unwrap();
         stat.split(' ').next().unwrap().parse::<f64>().unwrap() / 1e9
     };
     let (began, processor_s_before) = (Instant::now(), processor_s());
     let mut new_clients = Vec::new();
     // Longer than the front's timeout for a connection without any request.
     while began.elapsed() < Duration::from_secs(4) && !flooding.is_finished() {
-        new_clients.push(node.connect());
+        new_clients.push(front.connect());
         thread::sleep(Duration::from_millis(20));
     }
     let core_share = (processor_s() - processor_s_before) / began.elapsed().as_secs_f64();
     let has_slot = !flooding.is_finished();
-    drop(node);
+    drop(front);
     flooding.join().unwrap();
     reading.join().unwrap();
     assert!(
@@ -153,18 +153,18 @@
     let members = vec![member(EDGE, "standard", cache), member(ORIGIN, "origin", cache)];
     // A round proves nothing if the machine is so slow that the time to read is over.
     for round in 0..5 {
-        let node = Node::start(&format!("places-memory-{round}"), members.clone(), |_| ());
+        let front = Node::start(&format!("places-memory-{round}"), members.clone(), |_| ());
         // The front has accepted each of them, and answered it, before the limit is lowered.
-        let mut clients: Vec<Client> = (0..40).map(|_| idle_client(&node)).collect();
-        node.reload(|config| config["limits"]["memory_mb"] = json!(4));
-        node.logged("settings are in force");
-        node.logged("are in no account");
+        let mut clients: Vec<Client> = (0..40).map(|_| idle_client(&front)).collect();
+        front.reload(|config| config["limits"]["memory_mb"] = json!(4));
+        front.logged("settings are in force");
+        front.logged("are in no account");
         let began = Instant::now();
         for client in &mut clients {
             client.send(&["HEALTH", "8", ""]);
             client.answer();
         }
-        let mut new_client = node.connect();
+        let mut new_client = front.connect();
         let _ = new_client.stream.write_all(b"*3\r\n$6\r\nHEALTH\r\n$1\r\n8\r\n$0\r\n\r\n");
         // Waits until the new connection is answered or refused; the front may also keep it waiting.
         new_client.stream.set_read_timeout(Some(Duration::from_millis(700))).unwrap();
@@ -188,8 +188,8 @@
 /// answers: a client would be evicted 0.4 s after its answer.
 #[test]
 fn waiting_connection_evicts_no_client_that_was_answered_meanwhile() {
-    let FrontWithoutMemory { node, mut answered, .. } = FrontWithoutMemory::start("places-beside");
-    let mut new_client = node.connect();
+    let FrontWithoutMemory { front, mut answered, .. } = FrontWithoutMemory::start("places-beside");
+    let mut new_client = front.connect();
     new_client.send(&["HEALTH", "8", ""]);
     let connected_at = Instant::now();
     let mut requested_at = vec![connected_at; answered.len()];
@@ -217,11 +217,12 @@
 fn new_connection_gets_a_slot_before_answers_are_acknowledged() {
     let (cache, _served) = cache_node();
     let members = vec![member(EDGE, "standard", cache), member(ORIGIN, "origin", cache)];
-    let node = Node::start("places-unacknowledged", members, |config| config["limits"]["sockets"] = json!(8));
+    let front =
+        Node::start("places-unacknowledged", members, |config| config["limits"]["sockets"] = json!(8));
     let mut clients = Vec::new();
     // A refused client would get no answer.
     for _ in 0..NEW_CONNECTIONS {
-        let mut client = node.connect();
+        let mut client = front.connect();
         socket2::SockRef::from(&client.stream).set_tcp_quickack(false).unwrap();
         client.send(&["HEALTH", "8", ""]);
         client.answer();
@@ -231,7 +232,7 @@
 
 /// A front without memory for new connections, which has slots for a few of them.
 struct FrontWithoutMemory {
-    node: Node,
+    front: Node,
     /// When its clients began to get their last answers.
     answered_since: Instant,
     /// The clients that were answered then.
@@ -242,17 +243,17 @@
     fn start(name: &str) -> Self {
         let (cache, _served) = cache_node();
         let members = vec![member(EDGE, "standard", cache), member(ORIGIN, "origin", cache)];
-        let node = Node::start(name, members, |config| config["limits"]["sockets"] = json!(MANY_SOCKETS));
-        let mut answered: Vec<Client> = (0..ANSWERED_CLIENTS).map(|_| idle_client(&node)).collect();
-        node.reload(|config| config["limits"]["memory_mb"] = json!(4));
-        node.logged("settings are in force");
-        node.logged("are in no account");
+        let front = Node::start(name, members, |config| config["limits"]["sockets"] = json!(MANY_SOCKETS));
+        let mut answered: Vec<Client> = (0..ANSWERED_CLIENTS).map(|_| idle_client(&front)).collect();
+        front.reload(|config| config["limits"]["memory_mb"] = json!(4));
+        front.logged("settings are in force");
+        front.logged("are in no account");
         let answered_since = Instant::now();
         for client in &mut answered {
             client.send(&["HEALTH", "8", ""]);
             client.answer();
         }
-        FrontWithoutMemory { node, answered_since, answered }
+        FrontWithoutMemory { front, answered_since, answered }
     }
 
     /// Opens new connections for half of the time that the answered clients have to read, and sends these
@@ -262,7 +263,7 @@
         while self.answered_since.elapsed() < TIME_TO_READ / 2
             || new_clients.len() + ANSWERED_CLIENTS < MANY_SOCKETS
         {
-            let mut new_client = self.node.connect();
+            let mut new_client = self.front.connect();
             // This fails if the front has refused the connection already.
             let _ = new_client.stream.write_all(bytes.as_bytes());
             new_clients.push(new_client);
@@ -291,11 +292,11 @@
 fn connections_waiting_for_memory_evict_no_recently_answered_client() {
     for bytes in ["", PARTIAL_REQUEST] {
         let closed = in_time(&format!("places-waiting-{}", bytes.len()), |name| {
-            let mut front = FrontWithoutMemory::start(name);
-            let _new_clients = front.connect_many(bytes);
-            let closed = front.answered.iter_mut().filter_map(|client| is_closed(client).then_some(()));
+            let mut setup = FrontWithoutMemory::start(name);
+            let _new_clients = setup.connect_many(bytes);
+            let closed = setup.answered.iter_mut().filter_map(|client| is_closed(client).then_some(()));
             let closed = closed.count();
-            front.in_time().then_some(closed)
+            setup.in_time().then_some(closed)
         });
         assert_eq!(
             closed, 0,
@@ -309,12 +310,12 @@
 #[test]
 fn connection_with_a_request_outlasts_others_that_wait_for_memory() {
     let answered = in_time("places-asks", |name| {
-        let front = FrontWithoutMemory::start(name);
-        let _new_clients = front.connect_many(PARTIAL_REQUEST);
-        let mut new_client = front.node.connect();
+        let setup = FrontWithoutMemory::start(name);
+        let _new_clients = setup.connect_many(PARTIAL_REQUEST);
+        let mut new_client = setup.front.connect();
         new_client.send(&["HEALTH", "8", ""]);
-        front.node.reload(|config| config["limits"]["memory_mb"] = json!(64));
-        let in_time = front.in_time();
+        setup.front.reload(|config| config["limits"]["memory_mb"] = json!(64));
+        let in_time = setup.in_time();
         let mut first_byte = [0];
         let answered = new_client.stream.read(&mut first_byte).is_ok_and(|n| n > 0);
         in_time.then_some(answered)
--- a/tests/closing_small.rs
+++ b/tests/closing_small.rs
@@ -52,14 +52,14 @@
 
 /// The front that the platform configures, with its clients.
 struct Platform<'a> {
-    node: &'a Node,
+    front: &'a Node,
     slow: Client,
     witness: Client,
 }
 
 impl<'a> Platform<'a> {
-    fn new(node: &'a Node) -> Self {
-        Platform { node, slow: Client::new(narrow(node.address)), witness: node.connect() }
+    fn new(front: &'a Node) -> Self {
+        Platform { front, slow: Client::new(narrow(front.address)), witness: front.connect() }
     }
 }
 
@@ -69,8 +69,8 @@
     }
 
     fn counters(&self) -> String {
-        self.node.signal("-USR1");
-        self.node.logged("counters")
+        self.front.signal("-USR1");
+        self.front.logged("counters")
     }
 
     fn query_witness(&mut self) {
@@ -338,9 +338,9 @@
         let _cleanup = FolderCleanup(tmp.clone());
         let (cache, served) = cache_node();
         let members = vec![member(EDGE, "standard", cache), member(ORIGIN, "origin", cache)];
-        let node = Node::start_in(name, members, change, Some(&tmp));
-        let slow_client = SlowClient::start(Platform::new(&node), served, fill);
-        close_idle(&node, &mut idle_client(&node));
+        let front = Node::start_in(name, members, change, Some(&tmp));
+        let slow_client = SlowClient::start(Platform::new(&front), served, fill);
+        close_idle(&front, &mut idle_client(&front));
         slow_client.assert_all_answers_arrive();
     });
 }
@@ -360,9 +360,9 @@
     run_platform(
         "small-scarce",
         |_| (),
-        |node, idle| {
+        |front, idle| {
             // Less than the program needs by itself, so that none of the shared memory is free.
-            node.reload(|config| config["limits"]["memory_mb"] = json!(4));
+            front.reload(|config| config["limits"]["memory_mb"] = json!(4));
             assert!(idle.closed(), "a connection that became idle later is closed");
         },
     );
@@ -374,10 +374,10 @@
     run_platform(
         "small-crowd",
         |config| config["limits"]["sockets"] = json!(64),
-        |node, idle| {
+        |front, idle| {
             let mut new_clients = Vec::new();
             eventually("a connection that became idle later is closed", || {
-                new_clients.push(idle_client(node));
+                new_clients.push(idle_client(front));
                 is_closed(idle)
             });
         },
@@ -402,8 +402,8 @@
     run_platform(
         "small-end",
         |_| (),
-        |node, idle| {
-            node.signal("-TERM");
+        |front, idle| {
+            front.signal("-TERM");
             assert!(idle.closed(), "an idle connection is closed");
         },
     );
@@ -413,8 +413,8 @@
 #[test]
 fn replaced_front_keeps_connections_with_small_unsent_answers() {
     let admin = |config: &mut Value| config["admin_addr"] = json!("127.0.0.1:0");
-    run_platform("small-replaced", admin, |node, idle| {
-        replaced(node, node.tmp.as_deref().unwrap());
+    run_platform("small-replaced", admin, |front, idle| {
+        replaced(front, front.tmp.as_deref().unwrap());
         assert!(idle.closed(), "a connection that became idle later is closed");
     });
 }
@@ -431,16 +431,16 @@
     let (cache, served) = cache_node();
     let members = vec![member(EDGE, "standard", cache), member(ORIGIN, "origin", cache)];
     let admin = |config: &mut Value| config["admin_addr"] = json!("127.0.0.1:0");
-    let node = Node::start_in(name, members, admin, Some(&tmp));
+    let front = Node::start_in(name, members, admin, Some(&tmp));
     let fill = Fill::Beyond { seed: SEEDS[0], further: 0 };
-    let mut slow_client = SlowClient::start(Platform::new(&node), served, fill);
+    let mut slow_client = SlowClient::start(Platform::new(&front), served, fill);
     let written_at = Instant::now();
     eventually("the time to read is over", || written_at.elapsed() > TIME_TO_READ_OVER);
     let last = slow_client.answers.len() as u64;
     assert!(!slow_client.has_received(last), "test setup: the last answer was sent already");
     let read_at = Instant::now();
     slow_client.read_answers();
-    replaced(&node, &tmp);
+    replaced(&front, &tmp);
     assert!(slow_client.harness.slow.closed(), "the connection is closed after the time to read");
     let time_to_read = read_at.elapsed();
     assert!(time_to_read >= MIN_TIME_TO_READ, "the client had {time_to_read:?} to read");
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -24,9 +24,9 @@
 }
 
 /// Waits until the program exits in order. Returns the value of a counter in the line that it prints then.
-fn counter_at_exit(node: &mut Node, name: &str) -> u64 {
-    let line = node.logged("at exit: counters");
-    assert_eq!(node.child.wait().unwrap().code(), Some(0));
+fn counter_at_exit(front: &mut Node, name: &str) -> u64 {
+    let line = front.logged("at exit: counters");
+    assert_eq!(front.child.wait().unwrap().code(), Some(0));
     let mark = format!("{name}=");
     line.split(' ').find_map(|w| w.strip_prefix(&mark)).unwrap().parse().unwrap()
 }
@@ -53,18 +53,18 @@
 /// against sending that request to a cache node, and against a reset in place of an orderly end.
 #[test]
 fn request_after_an_idle_connection_is_closed_is_not_sent_on() {
-    let (mut node, served) = one_cache("crossing-rest");
-    let mut client = node.connect();
+    let (mut front, served) = one_cache("crossing-rest");
+    let mut client = front.connect();
     client.ask("1", 0xa1, "");
     next(&served).hit(b"x");
     assert_eq!(client.answer()[1], "ok");
-    node.signal("-TERM");
+    front.signal("-TERM");
     assert!(client.closed(), "the front closes the idle connection");
     client.stream.write_all(&request_frame(2, 0xa2)).unwrap();
     client.stream.shutdown(Shutdown::Write).unwrap();
     assert_eq!(read_to_end(&mut client.stream), Ok(Vec::new()));
     assert_no_command(&served);
-    assert_eq!(counter_at_exit(&mut node, "requests"), 1);
+    assert_eq!(counter_at_exit(&mut front, "requests"), 1);
 }
 
 /// More idle connections are closed at shutdown than may linger at once in normal operation, and each client
@@ -74,13 +74,13 @@
 fn all_idle_connections_end_in_order_at_shutdown() {
     let (cache, served) = cache_node();
     let members = vec![member(EDGE, "standard", cache), member(ORIGIN, "origin", cache)];
-    let mut node = Node::start("crossing-many", members, |c| c["limits"]["sockets"] = json!(64));
-    let mut clients: Vec<Client> = (0..20).map(|_| node.connect()).collect();
+    let mut front = Node::start("crossing-many", members, |c| c["limits"]["sockets"] = json!(64));
+    let mut clients: Vec<Client> = (0..20).map(|_| front.connect()).collect();
     for client in &mut clients {
         client.send(&["HEALTH", "8", ""]);
         assert_eq!(client.answer()[..2], ["8", "yes"]);
     }
-    node.signal("-TERM");
+    front.signal("-TERM");
     // Each client writes once it has seen the end, while the front waits for all clients to close their
     // sides.
     for client in &mut clients {
@@ -91,7 +91,7 @@
         client.stream.shutdown(Shutdown::Write).unwrap();
         assert_eq!(read_to_end(&mut client.stream), Ok(Vec::new()));
     }
-    assert_eq!(counter_at_exit(&mut node, "requests"), 0);
+    assert_eq!(counter_at_exit(&mut front, "requests"), 0);
     assert_no_command(&served);
 }
 
@@ -99,31 +99,31 @@
 /// against a close that cuts the answer off.
 #[test]
 fn request_in_flight_at_sigterm_is_answered_whole() {
-    let (mut node, served) = one_cache("crossing-taken");
-    let mut client = Client::new(narrow(node.address));
+    let (mut front, served) = one_cache("crossing-taken");
+    let mut client = Client::new(narrow(front.address));
     client.ask("1", 0xa1, "");
     let mut request = next(&served);
-    node.signal("-TERM");
-    node.logged("onyxyoke").clear();
+    front.signal("-TERM");
+    front.logged("onyxyoke").clear();
     let body = vec![b'y'; 240_000];
     request.hit(&body);
     let answer = client.answer();
     assert_eq!((&*answer[1], answer[3].len()), ("ok", body.len()));
     assert!(client.closed());
-    assert_eq!(counter_at_exit(&mut node, "served"), 1);
+    assert_eq!(counter_at_exit(&mut front, "served"), 1);
 }
 
 /// SIGTERM arrives between the two halves of a request. Guards against closing the connection as an idle one.
 #[test]
 fn request_whose_halves_arrive_around_sigterm_is_answered() {
-    let (mut node, served) = one_cache("crossing-half");
-    let mut client = node.connect();
+    let (mut front, served) = one_cache("crossing-half");
+    let mut client = front.connect();
     client.send(&["HEALTH", "8", ""]);
     assert_eq!(client.answer()[..2], ["8", "yes"]);
     let frame = request_frame(1, 0xa1);
     client.stream.write_all(&frame[..40]).unwrap();
-    node.signal("-TERM");
-    let mut other = node.connect();
+    front.signal("-TERM");
+    let mut other = front.connect();
     eventually("the closing window begins", || {
         other.send(&["HEALTH", "1", ""]);
         other.answer()[1] == "no"
@@ -134,7 +134,7 @@
     next(&served).hit(b"x");
     assert_eq!(client.answer()[1], "ok");
     assert!(client.closed());
-    assert_eq!(counter_at_exit(&mut node, "served"), 1);
+    assert_eq!(counter_at_exit(&mut front, "served"), 1);
 }
 
 /// A client sends more than the front reads at once, with a request at the end, and closes its side. Guards
@@ -142,16 +142,16 @@
 /// node.
 #[test]
 fn unread_request_of_a_flooding_client_that_left_is_not_sent_on() {
-    let (mut node, served) = one_cache("crossing-flood");
-    let mut client = node.connect();
+    let (mut front, served) = one_cache("crossing-flood");
+    let mut client = front.connect();
     let health: Vec<u8> =
         (0..900).flat_map(|_| b"*3\r\n$6\r\nHEALTH\r\n$1\r\n8\r\n$0\r\n\r\n".to_vec()).collect();
     client.stream.write_all(&[health, request_frame(1, 0xa1)].concat()).unwrap();
     client.stream.shutdown(Shutdown::Write).unwrap();
     // The front closes the connection long before its rate limit would let it read that far.
     let _ = read_to_end(&mut client.stream);
-    node.signal("-TERM");
-    assert_eq!(counter_at_exit(&mut node, "written"), 0);
+    front.signal("-TERM");
+    assert_eq!(counter_at_exit(&mut front, "written"), 0);
     assert_no_command(&served);
 }
 
@@ -159,8 +159,8 @@
 /// missing or repeated cancel, and against a further attempt for a client that is gone.
 #[test]
 fn request_of_a_disconnected_client_gets_no_further_attempt() {
-    let (mut node, [(_, at_one), (_, at_two)]) = two_caches("crossing-gone");
-    let mut client = node.connect();
+    let (mut front, [(_, at_one), (_, at_two)]) = two_caches("crossing-gone");
+    let mut client = front.connect();
     client.ask("1", 0xa1, "");
     let (mut request, _) = next_at_either(&at_one, &at_two);
     drop(client);
@@ -169,8 +169,8 @@
     let (cancel, _) = next_at_either(&at_one, &at_two);
     assert_eq!((&*cancel.verb, &cancel.id), ("cancel", &request.id));
     request.answer("FAULT", "n=TCP_MISS", b"");
-    node.signal("-TERM");
-    assert_eq!(counter_at_exit(&mut node, "written"), 1);
+    front.signal("-TERM");
+    assert_eq!(counter_at_exit(&mut front, "written"), 1);
     assert_no_command(&at_one);
     assert_no_command(&at_two);
 }
@@ -179,13 +179,13 @@
 /// lost or cause an exit with an error.
 #[test]
 fn sigterm_before_the_front_is_ready_ends_it_in_order() {
-    let mut node = Node::start("crossing-early", Vec::new(), |_| ());
-    let mut client = node.connect();
+    let mut front = Node::start("crossing-early", Vec::new(), |_| ());
+    let mut client = front.connect();
     client.send(&["HEALTH", "8", ""]);
     assert_eq!(client.answer()[..2], ["8", "no"], "not ready");
-    ["-HUP", "-TERM", "-HUP", "-TERM"].iter().for_each(|s| node.signal(s));
+    ["-HUP", "-TERM", "-HUP", "-TERM"].iter().for_each(|s| front.signal(s));
     assert!(client.closed());
-    assert_eq!(counter_at_exit(&mut node, "requests"), 0);
+    assert_eq!(counter_at_exit(&mut front, "requests"), 0);
 }
 
 /// The coordinator's watch stalls without an end. Guards against a front that keeps waiting on it, and so
@@ -193,8 +193,8 @@
 /// know of a drain (7 s), and close the stalled one, so that late events on that are not applied.
 #[test]
 fn stalled_watch_is_reopened_from_the_last_event() {
-    let (node, _served) = one_cache("crossing-silent");
-    let (last, mut stalled) = node.feeds.recv_timeout(PATIENCE).unwrap();
+    let (front, _served) = one_cache("crossing-silent");
+    let (last, mut stalled) = front.feeds.recv_timeout(PATIENCE).unwrap();
     assert_eq!(last, 3);
     let began = Instant::now();
     let purge = |number: u64| {
@@ -204,27 +204,27 @@
     // A partial frame doesn't count as an event.
     stalled.write_all(&purge(4)).unwrap();
     stalled.write_all(&purge(5)[..10]).unwrap();
-    let (last, mut second) = node.feeds.recv_timeout(PATIENCE).unwrap();
+    let (last, mut second) = front.feeds.recv_timeout(PATIENCE).unwrap();
     assert_eq!(last, 4, "the partial event is not applied");
     // The second watch brings nothing at all, so that the front opens a third one.
-    let (last, mut third) = node.feeds.recv_timeout(PATIENCE).unwrap();
+    let (last, mut third) = front.feeds.recv_timeout(PATIENCE).unwrap();
     assert_eq!(last, 4);
     assert!(began.elapsed() < Duration::from_secs(7), "{:?}", began.elapsed());
     let is_closed = |stream: &mut TcpStream| at_end(stream).unwrap_or(true);
     assert!(is_closed(&mut stalled) && is_closed(&mut second), "both stalled watches are closed");
     // Repeated events, and those older than the last one, are applied only once.
     third.write_all(&[purge(4), purge(5), purge(4)].concat()).unwrap();
-    await_counter(&node, " purges=2 ");
+    await_counter(&front, " purges=2 ");
 }
 
 /// A node drains (the event comes twice), is removed, and another node appears at its address. Guards against
 /// using the node while it drains, and against a state of the old node that keeps the new one unused.
 #[test]
 fn node_at_the_address_of_a_drained_node_is_used() {
-    let (node, [(cache, at_cache), (_, at_other)]) = two_caches("crossing-returns");
-    let (_, mut feed) = node.feeds.recv_timeout(PATIENCE).unwrap();
+    let (front, [(cache, at_cache), (_, at_other)]) = two_caches("crossing-returns");
+    let (_, mut feed) = front.feeds.recv_timeout(PATIENCE).unwrap();
     let record = |id: u32, state: u8| list_record(id, state, cache);
-    let mut client = node.connect();
+    let mut client = front.connect();
     let mut last_request = 0;
     // Requests another object each time. Returns whether the request came to the first cache node.
     let mut request = |client: &mut Client| {
@@ -243,11 +243,11 @@
         [list_frame(4, &record(EDGE, 1)), list_frame(5, &record(EDGE, 1)), list_frame(3, &record(EDGE, 0))]
             .concat();
     feed.write_all(&events).unwrap();
-    await_counter(&node, "lists=3");
+    await_counter(&front, "lists=3");
     assert!(!(0..40).any(|_| request(&mut client)), "the node is not used while it drains");
     // One event removes the node and adds another at its address.
     feed.write_all(&list_frame(6, &[record(EDGE, 2), record(EDGE + 100, 0)].concat())).unwrap();
-    await_counter(&node, "lists=4");
+    await_counter(&front, "lists=4");
     assert!((0..40).any(|_| request(&mut client)), "the new node at its address is used");
 }
 
@@ -262,7 +262,7 @@
     let start = |name: &str| {
         let members = vec![member(EDGE, "standard", cache), member(ORIGIN, "origin", cache)];
         let free_address = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-        let node = Node::start_in(
+        let front = Node::start_in(
             name,
             members,
             |config| {
@@ -271,9 +271,9 @@
             },
             Some(&tmp),
         );
-        let line = node.logged("answers operators on");
+        let line = front.logged("answers operators on");
         let admin: std::net::SocketAddr = line.rsplit(' ').next().unwrap().parse().unwrap();
-        (node, admin)
+        (front, admin)
     };
     let call = |admin: std::net::SocketAddr, command: &str| {
         let mut stream = TcpStream::connect(admin).unwrap();
@@ -313,10 +313,10 @@
 }
 
 /// Waits until the front's counters contain this text.
-fn await_counter(node: &Node, text: &str) {
+fn await_counter(front: &Node, text: &str) {
     eventually(text, || {
-        node.signal("-USR1");
-        format!("{} ", node.logged("counters")).contains(text)
+        front.signal("-USR1");
+        format!("{} ", front.logged("counters")).contains(text)
     });
 }
 
@@ -329,17 +329,17 @@
         member(EDGE, "standard", unresponsive.address()),
         member(ORIGIN, "origin", unresponsive.address()),
     ];
-    let mut node = Node::start("crossing-late-gone", members, |config| {
+    let mut front = Node::start("crossing-late-gone", members, |config| {
         config["settings"]["caps"]["connect-timeout"] = json!(10.0);
     });
-    let mut client = node.connect();
+    let mut client = front.connect();
     client.ask("1", 0xa1, "");
-    await_counter(&node, " sent=1 written=0 ");
+    await_counter(&front, " sent=1 written=0 ");
     drop(client);
-    await_counter(&node, " aborted=1 ");
+    await_counter(&front, " aborted=1 ");
     let served = cache_node_at(unresponsive.hears());
-    node.signal("-TERM");
-    assert_eq!(counter_at_exit(&mut node, "written"), 0);
+    front.signal("-TERM");
+    assert_eq!(counter_at_exit(&mut front, "written"), 0);
     assert_no_command(&served);
 }
 
@@ -352,12 +352,12 @@
         member(EDGE, "standard", unresponsive.address()),
         member(ORIGIN, "origin", unresponsive.address()),
     ];
-    let node = Node::start("crossing-late", members, |config| {
+    let front = Node::start("crossing-late", members, |config| {
         config["settings"]["caps"]["connect-timeout"] = json!(10.0);
     });
-    let mut client = node.connect();
+    let mut client = front.connect();
     client.ask("1", 0xa1, "");
-    await_counter(&node, " sent=1 written=0 ");
+    await_counter(&front, " sent=1 written=0 ");
     let served = cache_node_at(unresponsive.hears());
     next(&served).hit(b"late");
     assert_eq!(client.answer()[1], "ok");
@@ -370,20 +370,20 @@
     let unresponsive = UnresponsiveClient::new();
     let (other, at_other) = cache_node();
     let members = vec![member(EDGE, "standard", unresponsive.address()), member(ORIGIN, "origin", other)];
-    let mut node = Node::start("crossing-late-drain", members, |config| {
+    let mut front = Node::start("crossing-late-drain", members, |config| {
         config["settings"]["caps"]["connect-timeout"] = json!(10.0);
     });
-    let (_, mut feed) = node.feeds.recv_timeout(PATIENCE).unwrap();
-    let mut client = node.connect();
+    let (_, mut feed) = front.feeds.recv_timeout(PATIENCE).unwrap();
+    let mut client = front.connect();
     client.ask("1", 0xa1, "");
-    await_counter(&node, " sent=1 written=0 ");
+    await_counter(&front, " sent=1 written=0 ");
     let records = [list_record(EDGE, 1, unresponsive.address()), list_record(OTHER, 0, other)].concat();
     feed.write_all(&list_frame(4, &records)).unwrap();
     next(&at_other).hit(b"elsewhere");
     assert_eq!(client.answer()[3], "elsewhere");
     let first_served = cache_node_at(unresponsive.hears());
-    node.signal("-TERM");
-    assert_eq!(counter_at_exit(&mut node, "written"), 1);
+    front.signal("-TERM");
+    assert_eq!(counter_at_exit(&mut front, "written"), 1);
     assert_no_command(&first_served);
 }
 
@@ -405,26 +405,26 @@
 /// arrives on the old watch, is discarded.
 #[test]
 fn coordinator_change_within_an_event_applies_each_event_once() {
-    let (node, _served) = one_cache("crossing-moves");
-    let (_, mut old) = node.feeds.recv_timeout(PATIENCE).unwrap();
+    let (front, _served) = one_cache("crossing-moves");
+    let (_, mut old) = front.feeds.recv_timeout(PATIENCE).unwrap();
     let purge = |number: u64| {
         let payload = [&17u16.to_be_bytes()[..], &1u64.to_be_bytes()].concat();
         [&(9 + payload.len() as u32).to_be_bytes()[..], &number.to_be_bytes(), &[4], &payload].concat()
     };
     let fifth = purge(5);
     old.write_all(&[&purge(4)[..], &fifth[..12]].concat()).unwrap();
-    await_counter(&node, " purges=1 ");
+    await_counter(&front, " purges=1 ");
     let (new, feeds) = coordinator();
-    let file = node.folder.join("config.json");
+    let file = front.folder.join("config.json");
     let mut config: serde_json::Value = serde_json::from_slice(&std::fs::read(&file).unwrap()).unwrap();
     config["coordinator"] = json!(new);
     std::fs::write(&file, config.to_string()).unwrap();
-    node.signal("-HUP");
+    front.signal("-HUP");
     let (last, mut feed) = feeds.recv_timeout(PATIENCE).unwrap();
     assert_eq!(last, 4, "the partial event is not applied");
     let _ = old.write_all(&[&fifth[12..], &purge(6)].concat());
     feed.write_all(&[fifth, purge(6), purge(7)].concat()).unwrap();
-    await_counter(&node, " purges=4 ");
+    await_counter(&front, " purges=4 ");
 }
 
 /// A reload renames and reorders the classes while a request is in flight. Guards against mixing old and new
@@ -432,23 +432,23 @@
 /// say so.
 #[test]
 fn reload_that_renames_and_reorders_classes_leaves_those_in_service() {
-    let (node, served) = one_cache("crossing-classes");
-    let mut client = node.connect();
+    let (front, served) = one_cache("crossing-classes");
+    let mut client = front.connect();
     let send_request = |client: &mut Client, tag: &str, class: &str| {
         let fields = format!("call=00000000000000{tag:0>2},ttl=9000,row={OBJECT},slice=0,set=17,heap=10.5");
         client.send(&["REQ", tag, class, &fields, ""]);
     };
     send_request(&mut client, "1", "media");
     let mut in_flight = next(&served);
-    let file = node.folder.join("config.json");
+    let file = front.folder.join("config.json");
     let mut config: serde_json::Value = serde_json::from_slice(&std::fs::read(&file).unwrap()).unwrap();
     let profiles = config["settings"]["profiles"].as_array_mut().unwrap();
     profiles.reverse();
     profiles[0]["name"] = json!("media");
     profiles[2]["name"] = json!("other");
     std::fs::write(&file, config.to_string()).unwrap();
-    node.signal("-HUP");
-    assert!(node.logged("next start").contains("'settings.profiles'"));
+    front.signal("-HUP");
+    assert!(front.logged("next start").contains("'settings.profiles'"));
     in_flight.hit(b"x");
     assert_eq!(client.answer()[1], "ok");
     // In the file this name now belongs to a class that needs a key.
@@ -473,18 +473,18 @@
 fn front_with_all_slots_taken_recovers_when_the_coordinator_returns() {
     let (cache, served) = cache_node();
     let unresponsive = UnresponsiveClient::new();
-    let node = Node::start("crossing-full", Vec::new(), |config| {
+    let front = Node::start("crossing-full", Vec::new(), |config| {
         config["admin_addr"] = json!("127.0.0.1:0");
         config["limits"]["sockets"] = json!(192);
         config["coordinator"] = json!(unresponsive.address());
     });
-    let line = node.logged("answers operators on");
+    let line = front.logged("answers operators on");
     let admin: std::net::SocketAddr = line.rsplit(' ').next().unwrap().parse().unwrap();
-    let limit = ["--nofile=192:192", "--pid", &node.child.id().to_string()].map(String::from);
+    let limit = ["--nofile=192:192", "--pid", &front.child.id().to_string()].map(String::from);
     assert!(std::process::Command::new("prlimit").args(limit).status().unwrap().success());
     let mut clients = Vec::new();
     for i in 0..400 {
-        let Ok(mut stream) = TcpStream::connect(node.address) else { continue };
+        let Ok(mut stream) = TcpStream::connect(front.address) else { continue };
         let _ = match i % 4 {
             0 => stream.write_all(&request_frame(1, i)[..30]),
             1 => stream.write_all(&request_frame(1, i).repeat(50)),
@@ -495,11 +495,11 @@
             clients.push(stream);
         }
     }
-    let processor_ns = |node: &Node| {
-        let stat = std::fs::read_to_string(format!("/proc/{}/schedstat", node.child.id())).unwrap();
+    let processor_ns = |front: &Node| {
+        let stat = std::fs::read_to_string(format!("/proc/{}/schedstat", front.child.id())).unwrap();
         stat.split(' ').next().unwrap().parse::<u64>().unwrap()
     };
-    let (began, processor_ns_before) = (Instant::now(), processor_ns(&node));
+    let (began, processor_ns_before) = (Instant::now(), processor_ns(&front));
     for _ in 0..5 {
         let sent_at = Instant::now();
         let mut stream = TcpStream::connect(admin).unwrap();
@@ -512,8 +512,8 @@
         );
         assert!(sent_at.elapsed() < Duration::from_secs(1), "{:?}", sent_at.elapsed());
     }
-    node.logged("no connection in");
-    let core_share = (processor_ns(&node) - processor_ns_before) as f64 / began.elapsed().as_nanos() as f64;
+    front.logged("no connection in");
+    let core_share = (processor_ns(&front) - processor_ns_before) as f64 / began.elapsed().as_nanos() as f64;
     assert!(core_share < 0.5, "the front uses {core_share:.2} of a core with nothing to do");
     // The coordinator returns, with one cache node.
     let listener = unresponsive.hears();
@@ -529,7 +529,7 @@
     // Its zone and its kind.
     (origin[11], origin[12]) = (0, 2);
     feed.write_all(&list_frame(4, &[list_record(EDGE, 0, cache), origin].concat())).unwrap();
-    let mut client = node.connect();
+    let mut client = front.connect();
     let mut tag = 0;
     // The front refuses requests until it has the list.
     loop {
--- a/tests/stand_ins/mod.rs
+++ b/tests/stand_ins/mod.rs
@@ -322,8 +322,8 @@
 }
 
 /// A client that has sent a command, read its answer, and is idle from then on.
-pub fn idle_client(node: &Node) -> Client {
-    let mut client = node.connect();
+pub fn idle_client(front: &Node) -> Client {
+    let mut client = front.connect();
     client.send(&["HEALTH", "8", ""]);
     client.answer();
     client
@@ -348,12 +348,12 @@
 }
 
 /// Replaces the front: registers the test's own process as its successor, and sends SIGTERM.
-pub fn replaced(node: &Node, tmp: &Path) {
+pub fn replaced(front: &Node, tmp: &Path) {
     let paths = std::fs::read_dir(tmp).unwrap().map(|entry| entry.unwrap().path());
     for pid_file in paths.filter(|path| path.extension().is_some_and(|e| e == "live")) {
         std::fs::write(pid_file, std::process::id().to_string()).unwrap();
     }
-    node.signal("-TERM");
+    front.signal("-TERM");
 }
 
 /// The issuer of the links that [`talks`] signs.
@@ -393,18 +393,18 @@
 const MAX_ROUNDS: u32 = 5;
 
 /// Stops the front while `events` runs, so that it then finds all of these events at once.
-pub fn at_once<T>(node: &Node, events: impl FnOnce() -> T) -> T {
-    eventually("the front waits for events", || process_state(node) == SLEEPING);
-    node.signal("-STOP");
-    eventually("the front is stopped", || process_state(node) == STOPPED);
+pub fn at_once<T>(front: &Node, events: impl FnOnce() -> T) -> T {
+    eventually("the front waits for events", || process_state(front) == SLEEPING);
+    front.signal("-STOP");
+    eventually("the front is stopped", || process_state(front) == STOPPED);
     let result = events();
-    node.signal("-CONT");
+    front.signal("-CONT");
     result
 }
 
 /// The state of the front's process.
-fn process_state(node: &Node) -> char {
-    let stat = std::fs::read_to_string(format!("/proc/{}/stat", node.child.id())).unwrap();
+fn process_state(front: &Node) -> char {
+    let stat = std::fs::read_to_string(format!("/proc/{}/stat", front.child.id())).unwrap();
     let (_, fields_after_name) = stat.rsplit_once(") ").unwrap();
     fields_after_name.chars().next().unwrap()
 }
