--- a/tests/closing.rs
+++ b/tests/closing.rs
@@ -69,7 +69,7 @@
     unread.assert_both_answers_arrive();
 }
 
-/// Guards against scarce memory that closes idle connections only when a new connection arrives: with none,
+/// Guards against closing idle connections under scarce memory only when a new connection arrives: with none,
 /// they would stay open until their idle timeout.
 #[test]
 fn scarce_memory_closes_idle_connections_without_new_connections() {
@@ -82,18 +82,18 @@
     assert!(is_closed(&mut idle));
 }
 
-/// Guards against scarce memory that closes a new connection before its client could send a request.
+/// Guards against closing a new connection under scarce memory before its client could send a request.
 #[test]
 fn scarce_memory_keeps_connections_that_were_just_opened() {
     let (front, served) = one_cache("closing-new");
     let mut idle = [idle_client(&front), idle_client(&front)];
     front.reload(|config| config["limits"]["memory_mb"] = json!(4));
     assert!(idle[0].closed());
-    let mut fresh = front.connect();
+    let mut new_client = front.connect();
     assert!(idle[1].closed());
-    hold(&mut fresh, 1);
+    hold(&mut new_client, 1);
     next(&served).hit(b"first");
-    assert_eq!(fresh.answer()[1], "ok");
+    assert_eq!(new_client.answer()[1], "ok");
 }
 
 /// Idle connections hold more memory than a lowered limit grants: the front evicts as many of them as a new
@@ -104,10 +104,10 @@
     let idle_clients: Vec<Client> = (0..60).map(|_| idle_client(&front)).collect();
     front.reload(|config| config["limits"]["memory_mb"] = json!(4));
     front.logged("the settings are in force");
-    let mut fresh = front.connect();
-    hold(&mut fresh, 1);
+    let mut new_client = front.connect();
+    hold(&mut new_client, 1);
     next(&served).hit(b"first");
-    assert_eq!(fresh.answer()[1], "ok");
+    assert_eq!(new_client.answer()[1], "ok");
     drop(idle_clients);
 }
 
--- a/tests/closing_crossings.rs
+++ b/tests/closing_crossings.rs
@@ -150,7 +150,7 @@
     (client, second_half.to_vec())
 }
 
-/// Guards against scarce memory that closes a connection on which half a request has arrived.
+/// Guards against closing a connection under scarce memory when half a request has arrived on it.
 #[test]
 fn scarce_memory_keeps_connections_with_partial_requests() {
     in_time(|round| {
--- a/tests/closing_small.rs
+++ b/tests/closing_small.rs
@@ -354,7 +354,7 @@
     }
 }
 
-/// Guards against scarce memory that closes a connection because it takes small unsent answers for sent ones.
+/// Guards against closing a connection under scarce memory because small unsent answers count as sent.
 #[test]
 fn scarce_memory_keeps_connections_with_small_unsent_answers() {
     run_platform(
