--- a/tests/policy/admission.rs
+++ b/tests/policy/admission.rs
@@ -1,24 +1,27 @@
-//! Admission: what is refused before it is sent, as links fill.
+//! Admission: which requests are refused before they are sent as links fill.
 
 use crate::common::*;
 use onyxyoke::interface::*;
 
 #[test]
-fn what_cannot_be_answered_in_time_is_refused_before_it_is_sent() {
+fn requests_that_cannot_be_answered_in_time_are_refused_before_sending() {
     let mut s = Stage::new(settings(), &[edge(10), parent(20), origin(30)]);
-    let (mut taken, mut turned) = (0, 0);
+    let (mut admitted, mut refusals) = (0, 0);
     for object in 1..200 {
         let (_, actions) = s.ask(object, 400.0);
-        taken += sent(&actions).len();
-        turned += usize::from(refused(&actions));
+        admitted += sent(&actions).len();
+        refusals += usize::from(refused(&actions));
     }
-    assert!(taken > 5 && taken < 60 && taken + turned == 199, "{taken} {turned}");
+    assert!(
+        admitted > 5 && admitted < 60 && admitted + refusals == 199,
+        "{admitted} admitted, {refusals} refused"
+    );
 }
 
-/// Guards the start of a day: a link that its weight tells to be wide is not taken for a narrow one until enough
-/// answers have come, or requests are refused that it could carry.
+/// Guards against estimating a link as narrow until enough answers have come, although the node's weight
+/// gives a wide one: requests that the link can carry would be refused after a start.
 #[test]
-fn a_wide_link_is_known_by_its_weight_from_the_start() {
+fn node_weight_sets_the_link_capacity_before_the_first_answers() {
     let refused_of_20 = |weight| {
         let settings = Settings {
             weights_are_link_sizes: true,
@@ -34,7 +37,7 @@
 }
 
 #[test]
-fn a_parent_that_is_slow_with_films_does_not_get_pages_refused() {
+fn small_requests_are_admitted_when_a_parent_is_slow_with_large_ones() {
     let mut s = Stage::new(
         Settings { zone_link_kb_per_s: vec![0.0, 0.0, 3000.0], ..settings() },
         &[edge(10), parent(20), origin(30)],
@@ -43,18 +46,19 @@
         let x = s.fetch(object, 400.0);
         s.end(x, 0, Outcome::Ok, Note::Filled, 1.3);
     }
-    // The link in is busy now, so that requests are looked at before they are taken.
+    // The inbound link is busy now, so that new requests are checked for admission.
     for object in 100..105 {
         s.ask(object, 100.0);
     }
-    assert!(refused(&s.ask(200, 400.0).1), "a film would be late");
-    assert_eq!(sent(&s.ask(201, 10.0).1).len(), 1, "a page is not");
+    assert!(refused(&s.ask(200, 400.0).1), "a large request would be late");
+    assert_eq!(sent(&s.ask(201, 10.0).1).len(), 1, "a small request would be in time");
 }
 
-/// Guards against refusing what a link that is only just full would still carry in time or nearly so: days
-/// were seen that refused 4% while 1% came late. Where the link is far over, the guard is strict.
+/// Guards against refusing requests that a link which is only just full would still carry in time or nearly
+/// so: some scenarios refused 4% of the requests while 1% came late. On a link far over its capacity the
+/// guard is strict.
 #[test]
-fn the_overload_guard_gets_strict_as_a_link_fills() {
+fn overload_guard_gets_stricter_as_a_link_fills() {
     let mut settings = Settings { zone_link_kb_per_s: vec![0.0, 0.0, 2000.0], ..settings() };
     settings.classes[0].aim_stretch = 1.6;
     let mut s = Stage::new(settings, &small_fleet());
@@ -65,17 +69,17 @@
     assert_eq!(
         sent(&actions).len(),
         1,
-        "estimated a little under its aim, on a link a third over: {actions:?}"
+        "estimated slightly below its aim on a link a third over capacity: {actions:?}"
     );
     s.fetch(4, 100.0);
     let (_, actions) = s.ask(5, 5000.0);
-    assert!(refused(&actions), "far over: {actions:?}");
+    assert!(refused(&actions), "link far over capacity: {actions:?}");
 }
 
-/// Guards the large ones of a class: on a link that stays over full the guard would refuse them all, and the small ones none
-/// (calm+mass of our deployment `vallee-etroite`: half of the largest tenth answered).
+/// Guards against refusing all large requests of a class and no small ones on a link that stays over capacity
+/// (scenario calm+mass of the deployment `vallee-etroite`: half of the largest tenth was answered).
 #[test]
-fn the_large_ones_of_a_class_are_not_refused_alone() {
+fn a_share_of_large_requests_is_admitted_on_a_full_link() {
     let mut settings = Settings { zone_link_kb_per_s: vec![0.0, 0.0, 2000.0], ..settings() };
     settings.classes[0].aim_stretch = 1.3;
     let mut s = Stage::new(settings, &small_fleet());
@@ -83,24 +87,25 @@
     for object in 1..4 {
         s.fetch(object, 100.0);
     }
-    let mut taken = [0, 0];
+    let mut admitted = [0, 0];
     for object in 10..410 {
         let large = object % 10 == 0;
         let kb = if large { 3000.0 } else { 100.0 };
         let (_, actions) = s.ask(object, kb);
         if let Some(&x) = sent(&actions).first() {
-            taken[usize::from(large)] += 1;
+            admitted[usize::from(large)] += 1;
             s.end(x, 0, Outcome::Ok, Note::Filled, 0.05 + 1.5 * kb / 1000.0);
         }
         s.now += 0.1;
     }
-    assert!(taken[0] > 340, "{taken:?}");
-    assert!((23..36).contains(&taken[1]), "seven in ten of forty: {taken:?}");
+    assert!(admitted[0] > 340, "[small, large] admitted: {admitted:?}");
+    assert!((23..36).contains(&admitted[1]), "about 70% of 40 large requests: {admitted:?}");
 }
 
+/// Guards against estimating small objects of unknown size as a third of a second of sending, and refusing
+/// them, until many hits have come (scenario ibf0141).
 #[test]
-fn where_sizes_are_untold_the_first_hits_tell_pages_from_films() {
-    // ibf0141: pages were taken for a third of a second of sending, and refused, until many hits had come.
+fn first_hits_set_the_expected_latency_where_sizes_are_unknown() {
     let mut s = Stage::new(
         Settings { zone_link_kb_per_s: Vec::new(), ..settings() },
         &[edge(10), parent(20), origin(30)],
@@ -110,16 +115,17 @@
         s.end(x, 0, Outcome::Ok, Note::Hit, 0.05);
         s.now += 1.0;
     }
-    // A wait of twice the expected latency and 0.3 s shows what is expected.
+    // The timer is set to twice the expected latency plus 0.3 s, so it shows the expected latency.
     let (_, actions) = s.ask(1, 0.0);
     let after = alarm_delay(&actions);
     assert!(after.is_some_and(|a| a < 0.5), "{after:?}");
 }
 
-/// What is never kept has no hits: where sizes are untold it was taken for a transfer of half a second for good, and refused
-/// as soon as a link was just full (a keyed class of our deployment `grand-large`: a third of it served).
+/// Guards uncacheable classes of unknown size, which never have a hit: they were estimated as transfers of
+/// half a second for good and refused as soon as a link was full (a keyed class of the deployment
+/// `grand-large`: a third was served).
 #[test]
-fn where_sizes_are_untold_what_is_never_kept_is_not_taken_for_a_film() {
+fn uncacheable_requests_of_unknown_size_are_not_estimated_as_large() {
     let mut settings = Settings { zone_link_kb_per_s: vec![0.0, 0.0, 2000.0], ..settings() };
     settings.classes[0].uncacheable = true;
     for note in [Note::FilledFromOrigin, Note::None] {
--- a/tests/policy/beliefs.rs
+++ b/tests/policy/beliefs.rs
@@ -1,4 +1,4 @@
-//! What is believed of the copies that caches hold: when it decides, when it ages, and its bound.
+//! Beliefs about the copies that caches hold: when they decide the choice, when they expire, and their bound.
 
 use crate::common::*;
 use onyxyoke::interface::*;
@@ -12,15 +12,15 @@
     let held: Vec<Sent> = (1..=40).map(|o| s.hit(o, 50.0)).collect();
     s.list(ListKind::Full, &small_fleet());
     for (object, held) in (1..=40).zip(held) {
-        assert_eq!(s.hit(object, 50.0).node, held.node, "π is far below ν: the holder wins");
+        assert_eq!(s.hit(object, 50.0).node, held.node, "π is far below ν, so the holder is chosen");
     }
 }
 
 #[test]
-fn a_holder_with_a_bad_pi_loses_to_the_hash_pick() {
+fn a_holder_with_a_high_pi_loses_to_the_hash_pick() {
     let two = [edge(10), edge(11), parent(20), origin(30)];
     let mut s = Stage::new(settings(), &two);
-    // Objects whose pick is cache 11 once it is there, but that were seen at 10 before.
+    // Objects whose hash pick is cache 11 when it is listed, and that are believed held at cache 10.
     let mut probe = Stage::new(settings(), &two);
     let picks: Vec<u64> = (1..=900).filter(|&o| probe.hit(o, 5.0).node == 11).take(240).collect();
     s.list(ListKind::Full, &[edge(10), parent(20), origin(30)]);
@@ -28,7 +28,8 @@
         s.hit(o, 5.0);
     }
     s.list(ListKind::Full, &two);
-    // Window after window finds believed copies gone: π[1] rises to 1 - 0.999 * 0.75^k, past what ν allows.
+    // Believed copies are missing in every window: π[1] rises to 1 - 0.999 * 0.75^k, above the bound set by
+    // ν.
     let mut stayed = 0;
     for &o in &picks {
         let sent = s.fetch(o, 5.0);
@@ -38,7 +39,10 @@
         stayed += 1;
         s.end(sent, 0, Outcome::Ok, Note::Filled, 0.3);
     }
-    assert!((40..200).contains(&stayed), "two windows at least, and not for ever: {stayed}");
+    assert!(
+        (40..200).contains(&stayed),
+        "the belief decides for two windows or more, but not indefinitely: {stayed}"
+    );
 }
 
 #[test]
@@ -46,27 +50,27 @@
     let mut s = Stage::new(settings(), &[edge(10), edge(11), parent(20), origin(30)]);
     let first = s.hit(3, 50.0);
     s.now += 1.0;
-    let again = Node { ready_at: s.now, ..edge(first.node) };
-    s.list(ListKind::Delta, &[again]);
+    let restarted = Node { ready_at: s.now, ..edge(first.node) };
+    s.list(ListKind::Delta, &[restarted]);
     s.now += 20.0;
-    // Were it still believed, its own copy would do and a burst would be spread by sibling fills.
+    // With the belief kept, a burst would be spread by sibling fills from the copy that the restart lost.
     let burst: Vec<Sent> = (0..12).flat_map(|_| sent(&s.ask(3, 50.0).1)).collect();
     assert!(!burst.is_empty() && burst.iter().all(|b| !b.only_if_cached), "{burst:?}");
 }
 
 #[test]
-fn beliefs_age() {
+fn beliefs_expire_with_age() {
     let mut s = Stage::new(settings(), &[edge(10), parent(20), origin(30)]);
     s.mixed();
     s.hit(3, 50.0);
     s.list(ListKind::Full, &small_fleet());
     s.now += 31.0;
     let mut other = Stage::new(settings(), &small_fleet());
-    assert_eq!(s.fetch(3, 50.0).node, other.fetch(3, 50.0).node, "the hash decides again");
+    assert_eq!(s.fetch(3, 50.0).node, other.fetch(3, 50.0).node, "the hash pick is chosen again");
 }
 
 #[test]
-fn the_belief_table_is_bounded() {
+fn belief_table_drops_the_oldest_beliefs_at_its_bound() {
     let mut s = Stage::new(settings(), &[edge(10), parent(20), origin(30)]);
     for object in 1..=100_050 {
         let x = s.fetch(object, 1.0);
@@ -74,19 +78,20 @@
         s.end(x, 0, Outcome::Ok, Note::Hit, 0.001);
     }
     s.list(ListKind::Full, &small_fleet());
-    let mut fresh = Stage::new(settings(), &small_fleet());
-    let moved = |s: &mut Stage, o: u64| s.hit(o, 1.0).node;
-    let elsewhere: Vec<u64> = (1..60).filter(|&o| moved(&mut fresh, o) != 10).take(20).collect();
-    assert!(elsewhere.iter().all(|&o| moved(&mut s, o) != 10), "the oldest are forgotten");
-    let late = (100_000..100_050).filter(|&o| moved(&mut s, o) == 10).count();
-    assert_eq!(late, 50, "the newest are kept");
+    let mut without_beliefs = Stage::new(settings(), &small_fleet());
+    let cache_of = |s: &mut Stage, o: u64| s.hit(o, 1.0).node;
+    let elsewhere: Vec<u64> = (1..60).filter(|&o| cache_of(&mut without_beliefs, o) != 10).take(20).collect();
+    assert!(elsewhere.iter().all(|&o| cache_of(&mut s, o) != 10), "the oldest beliefs are dropped");
+    let kept = (100_000..100_050).filter(|&o| cache_of(&mut s, o) == 10).count();
+    assert_eq!(kept, 50, "the newest beliefs are kept");
 }
 
 #[test]
 fn pi_and_nu_are_estimated_by_windows_of_twenty_outcomes() {
-    // One cache, no parents' delay: M is the link's share alone. ν[0] starts at 0.8; twenty hits without a
-    // belief make it 0.4, twenty more 0.2. It shows in what is booked on the link in, hence in refusals.
-    let taken_with = |hits: u64| {
+    // Without a delay of parents, M is the link's share alone. ν[0] starts at 0.8; twenty hits without a
+    // belief make it 0.4, twenty more 0.2. It shows in the load that is booked on the inbound link, hence in
+    // refusals.
+    let admitted_after = |hits: u64| {
         let mut s = Stage::new(
             Settings { zone_link_kb_per_s: vec![0.0, 0.0, 3000.0], ..settings() },
             &(10..22).map(edge).chain([parent(30), origin(40)]).collect::<Vec<_>>(),
@@ -96,12 +101,12 @@
         }
         (1000..1100).take_while(|&o| !refused(&s.ask(o, 400.0).1)).count()
     };
-    let (fresh, once, twice) = (taken_with(19), taken_with(20), taken_with(40));
-    assert!(once > fresh + fresh / 2 && twice > once + once / 2, "{fresh} {once} {twice}");
+    let (initial, once, twice) = (admitted_after(19), admitted_after(20), admitted_after(40));
+    assert!(once > initial + initial / 2 && twice > once + once / 2, "{initial} {once} {twice}");
 }
 
 #[test]
-fn what_was_asked_for_once_is_kept_below_what_is_believed_held() {
+fn objects_without_a_believed_holder_get_a_lower_cache_rank() {
     let mut s = Stage::new(settings(), &small_fleet());
     let rank = |actions: &[Action]| {
         actions.iter().find_map(|a| match a {
--- a/tests/policy/health.rs
+++ b/tests/policy/health.rs
@@ -1,33 +1,33 @@
-//! Health of caches and parents: what counts against a node, and what does not.
+//! Health of caches and parents: which outcomes count against a node and which do not.
 
 use crate::common::*;
 use onyxyoke::interface::*;
 
 #[test]
-fn a_silent_cache_is_left_while_others_answer() {
+fn a_silent_cache_is_ejected_while_others_answer() {
     let mut s = Stage::new(settings(), &[edge(10), edge(11), parent(20), origin(30)]);
-    let mut stuck = None;
+    let mut unanswered = None;
     for object in 1..30 {
         let sent = s.fetch(object, 20.0);
         if sent.node == 10 {
-            stuck = stuck.or(Some((object, sent)));
+            unanswered = unanswered.or(Some((object, sent)));
         } else {
             s.end(sent, 0, Outcome::Ok, Note::Hit, 0.02);
         }
     }
-    let (_, sent_first) = stuck.expect("some object of cache 10");
+    let (_, sent_first) = unanswered.expect("some object of cache 10");
     let actions = s.first_attempt_alarm(sent_first.id);
     assert!(actions.iter().any(|a| matches!(a, Action::Cancel { attempt: 0, .. })), "{actions:?}");
     assert_eq!(sent(&actions)[0].node, 11);
     for object in 100..130 {
-        assert_eq!(s.hit(object, 20.0).node, 11, "blamed: nothing new for a while");
+        assert_eq!(s.hit(object, 20.0).node, 11, "an ejected node gets no new requests for a while");
     }
 }
 
-/// Guards a node's health against what bad clients do: requests taken back at once, and waits too short for
-/// anybody to answer.
+/// Guards against ejecting a node for what clients do: requests cancelled at once, and deadlines too short
+/// for any node to answer.
 #[test]
-fn requests_taken_back_or_given_no_time_blame_nobody() {
+fn cancelled_and_too_short_requests_do_not_count_against_a_node() {
     let mut s = Stage::new(settings(), &[edge(10), edge(11), parent(20), origin(30)]);
     let home = s.hit(1, 50.0).node;
     for object in 0..40 {
@@ -43,51 +43,51 @@
     assert_eq!(s.fetch(1, 50.0).node, home);
 }
 
-/// A connection that broke takes several requests with it, which is one sign and no proof: they go again to
-/// the node that holds what they want. Three such signs without an answer between do blame it.
+/// A broken connection resets several requests, which counts as one failure: they are retried at the node
+/// that holds their object. Three failures without an answer in between eject the node.
 #[test]
-fn a_reset_is_one_sign_for_all_that_it_took() {
+fn a_reset_of_several_requests_counts_as_one_failure() {
     let mut s = Stage::new(settings(), &[edge(10), edge(11), parent(20), origin(30)]);
     s.mixed();
     let home = s.hit(1, 50.0).node;
-    let out: Vec<Sent> = (0..5).map(|_| s.fetch(1, 50.0)).filter(|x| x.node == home).collect();
-    assert!(out.len() > 2);
-    for x in &out {
+    let outstanding: Vec<Sent> = (0..5).map(|_| s.fetch(1, 50.0)).filter(|x| x.node == home).collect();
+    assert!(outstanding.len() > 2);
+    for x in &outstanding {
         let again = s.end(*x, 0, Outcome::Reset, Note::None, 0.0);
         assert_eq!(sent(&again)[0].node, home);
     }
     for number in 1..3 {
         s.now += 0.1;
-        let again = s.end(out[0], number, Outcome::Reset, Note::None, 0.0);
+        let again = s.end(outstanding[0], number, Outcome::Reset, Note::None, 0.0);
         assert_eq!(sent(&again)[0].node == home, number < 2, "{again:?}");
     }
 }
 
-/// An answer that got lost at a node that answers others is not waited for until the client gives up, and once
-/// that is seen to happen it is noticed sooner. Nobody is blamed.
+/// Guards against waiting until the client gives up for an answer that was lost at a node which answers
+/// others. After the first lost answer the next is detected sooner, and no node is ejected.
 #[test]
-fn an_answer_that_got_lost_is_asked_for_again_and_the_next_sooner() {
+fn a_lost_answer_is_requested_again_and_the_next_one_sooner() {
     let mut s = Stage::new(settings(), &[edge(10), parent(20), origin(30)]);
     s.hit(1, 50.0);
     let mut waits = Vec::new();
     for _ in 0..2 {
         let (id, actions) = s.ask(1, 50.0);
         let lost = sent(&actions)[0];
-        let (begun, mut after) = (s.now, alarm_delay(&actions).unwrap());
+        let (sent_at, mut after) = (s.now, alarm_delay(&actions).unwrap());
         s.now += 0.01;
         s.hit(2, 50.0);
         let late = loop {
-            s.now = s.now.max(begun + after);
-            assert!(s.now < begun + 2.0, "waited for too long");
+            s.now = s.now.max(sent_at + after);
+            assert!(s.now < sent_at + 2.0, "the lost answer was not detected in 2 s");
             let actions = s.first_attempt_alarm(id);
             match alarm_delay(&actions).filter(|_| actions.len() == 1) {
-                Some(more) => after = s.now - begun + more,
+                Some(more) => after = s.now - sent_at + more,
                 None => break actions,
             }
         };
         assert!(matches!(late[0], Action::Cancel { attempt: 0, .. }), "{late:?}");
         assert_eq!(sent(&late)[0].node, lost.node);
-        waits.push(s.now - begun);
+        waits.push(s.now - sent_at);
         s.end(lost, 0, Outcome::Cancelled, Note::None, 0.0);
         s.end(lost, 1, Outcome::Ok, Note::Hit, 0.05);
     }
@@ -95,27 +95,27 @@
 }
 
 #[test]
-fn a_stall_of_everything_blames_nobody() {
+fn a_stall_of_all_nodes_ejects_none() {
     let mut s = Stage::new(settings(), &small_fleet());
     s.mixed();
     let homes: Vec<Sent> = (1..=20).map(|o| s.hit(o, 10.0)).collect();
-    let out: Vec<Sent> = (1..=6).map(|o| s.fetch(o, 10.0)).collect();
+    let outstanding: Vec<Sent> = (1..=6).map(|o| s.fetch(o, 10.0)).collect();
     s.now += 2.0;
-    for sent in &out {
+    for sent in &outstanding {
         let actions = s.first_attempt_alarm(sent.id);
         assert!(matches!(actions[..], [Action::SetTimer { .. }]), "{actions:?}");
     }
-    for sent in out {
+    for sent in outstanding {
         s.end(sent, 0, Outcome::Ok, Note::Hit, 0.0);
     }
     for (object, home) in (1..=20).zip(homes) {
-        assert_eq!(s.hit(object, 10.0).node, home.node, "beliefs and health outlive it");
+        assert_eq!(s.hit(object, 10.0).node, home.node, "beliefs and health are unchanged by the stall");
     }
 }
 
 #[test]
-fn a_parent_that_is_gone_is_not_taken_for_full_caches() {
-    // Notes don't tell: refused fills from one parent, through whichever cache.
+fn fills_refused_by_a_failed_parent_do_not_count_against_caches() {
+    // Notes do not name the refusing node: fills from one parent are refused through every cache.
     let mut s = Stage::new(Settings { note_detail: NoteDetail::Hit, ..settings() }, &small_fleet());
     for object in 1..40 {
         let mut x = s.fetch(object, 10.0);
@@ -123,10 +123,10 @@
         while x.source == 20 {
             let next = s.end(x, number, Outcome::Full, Note::None, 0.001);
             let next = sent(&next)[0];
-            assert_eq!(next.node, x.node, "the cache is kept, the source changes");
+            assert_eq!(next.node, x.node, "the retry uses the same cache and another source");
             (x, number) = (next, number + 1);
         }
         s.end(x, number, Outcome::Ok, Note::Filled, 0.005);
     }
-    assert_ne!(s.fetch(1000, 10.0).source, 20, "blamed by now");
+    assert_ne!(s.fetch(1000, 10.0).source, 20, "the parent is ejected");
 }
--- a/tests/policy/main.rs
+++ b/tests/policy/main.rs
@@ -1,4 +1,4 @@
-//! The decision module through its interface: the mechanism and each guard.
+//! Tests of the decision module through its interface: the mechanism and each of its guards.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/tests/policy/membership.rs
+++ b/tests/policy/membership.rs
@@ -1,10 +1,10 @@
-//! What the list of the nodes says of them: drained, gone, none at all.
+//! Node lists: draining, absent and withdrawn nodes, and an empty list.
 
 use crate::common::*;
 use onyxyoke::interface::*;
 
 #[test]
-fn nothing_goes_to_a_draining_or_absent_node_nor_is_filled_from_it() {
+fn draining_and_absent_nodes_get_no_requests_and_no_fills() {
     let mut s = Stage::new(settings(), &small_fleet());
     let homes: Vec<Sent> = (1..=60).map(|o| s.hit(o, 20.0)).collect();
     let draining = |n: Node| Node { state: NodeState::Draining, ..n };
@@ -16,20 +16,24 @@
     s.list(ListKind::Full, &[edge(10), parent(20), origin(30)]);
     for (object, home) in (1..=60).zip(homes) {
         let sent = s.hit(object, 20.0);
-        assert_eq!((sent.node, sent.source), (10, 20), "absent means gone; {home:?}");
+        assert_eq!(
+            (sent.node, sent.source),
+            (10, 20),
+            "nodes that a full list lacks are gone; home before: {home:?}"
+        );
     }
 }
 
 #[test]
-fn with_no_cache_at_all_requests_are_refused_at_once_with_advice() {
+fn requests_without_any_cache_are_refused_at_once_with_a_retry_delay() {
     let mut s = Stage::new(settings(), &[]);
     let (_, actions) = s.ask(1, 50.0);
     assert!(matches!(actions[..], [Action::Refuse { wait, .. }] if wait > 0.0), "{actions:?}");
 }
 
-/// Guards the memory of a long day, on which new nodes take the place of old ones without end.
+/// Guards against memory that grows without bound as nodes are replaced over a long time.
 #[test]
-fn nodes_that_left_are_forgotten() {
+fn state_of_withdrawn_nodes_is_dropped() {
     let mut s = Stage::new(settings(), &small_fleet());
     for id in 1000..1500 {
         s.list(ListKind::Delta, &[edge(id)]);
--- a/tests/policy/purges.rs
+++ b/tests/policy/purges.rs
@@ -1,10 +1,10 @@
-//! Purges: how old a copy may be after one.
+//! Purges: the age limit of copies after a purge.
 
 use crate::common::*;
 use onyxyoke::interface::*;
 
 #[test]
-fn a_purge_voids_beliefs_and_limits_the_age_until_caches_have_settled() {
+fn a_purge_drops_beliefs_and_limits_copy_age_until_the_settle_time() {
     let mut s = Stage::new(Settings { join_fills: true, ..settings() }, &small_fleet());
     let first = s.fetch(5, 50.0);
     assert_eq!((first.age, first.join), (0.0, true));
@@ -19,14 +19,14 @@
     }
     s.now += 2.0;
     assert_eq!(s.fetch(5, 50.0).age, 0.0);
-    // A whole group, with an age of 0: the limit must not become "none".
+    // A group purge with an age of 0: the limit must not become 0, which means no limit.
     s.event(Event::Purged { object: None, group: GroupId(1), age: 0.0 });
     let sent = s.fetch(5, 50.0);
     assert!(sent.age > 0.0 && sent.age < 0.01);
 }
 
 #[test]
-fn a_purge_limit_combines_with_the_fresh_time() {
+fn the_age_limit_after_a_purge_is_capped_by_the_freshness_time() {
     let mut base = settings();
     base.classes[0].fresh_for = 2.0;
     let mut s = Stage::new(base, &small_fleet());
--- a/tests/policy/retries.rs
+++ b/tests/policy/retries.rs
@@ -1,22 +1,23 @@
-//! Retries: what may be sent again, when, and the one final answer.
+//! Retries: which requests may be sent again and when, and the one final answer.
 
 use crate::common::*;
 use onyxyoke::interface::*;
 
 #[test]
-fn without_leave_to_duplicate_the_next_attempt_waits_for_the_cancelled_one() {
+fn without_concurrent_attempts_a_retry_waits_for_the_cancelled_attempt() {
     let mut s = Stage::new(Settings { concurrent_attempts: false, ..settings() }, &small_fleet());
-    let stuck = s.fetch(1, 10.0);
-    let other = (2..).map(|o| s.fetch(o, 10.0)).find(|x| x.node != stuck.node && x.source != stuck.source);
+    let unanswered = s.fetch(1, 10.0);
+    let other =
+        (2..).map(|o| s.fetch(o, 10.0)).find(|x| x.node != unanswered.node && x.source != unanswered.source);
     s.end(other.expect("some other cache"), 0, Outcome::Ok, Note::Hit, 0.5);
-    let actions = s.first_attempt_alarm(stuck.id);
+    let actions = s.first_attempt_alarm(unanswered.id);
     assert!(sent(&actions).is_empty() && matches!(actions[..], [Action::Cancel { .. }]), "{actions:?}");
-    let actions = s.end(stuck, 0, Outcome::Cancelled, Note::None, 0.0);
+    let actions = s.end(unanswered, 0, Outcome::Cancelled, Note::None, 0.0);
     assert_eq!(sent(&actions).len(), 1);
 }
 
 #[test]
-fn an_unsafe_request_that_may_have_run_is_failed_and_not_sent_again() {
+fn an_unsafe_request_that_may_have_run_fails_without_a_retry() {
     for (outcome, resent) in [
         (Outcome::Reset, false),
         (Outcome::Error, false),
@@ -37,7 +38,7 @@
 }
 
 #[test]
-fn a_keyed_request_stays_in_its_cell_and_within_its_time() {
+fn a_keyed_request_is_retried_only_in_its_cell_and_within_its_key_ttl() {
     let celled = |id, cell| Node { cell, ..edge(id) };
     let nodes = [celled(10, 1), celled(11, 1), celled(12, 2), parent(20), origin(30)];
     for (wait, in_time) in [(0.1, true), (3.0, false)] {
@@ -49,9 +50,9 @@
             let x = s.fetch(object, 10.0);
             s.now += wait;
             let actions = s.end(x, 0, Outcome::Reset, Note::None, 0.0);
-            assert!(!refused(&actions), "only a failure may be told");
+            assert!(!refused(&actions), "a request that may have run must not be answered with a refusal");
             match sent(&actions)[..] {
-                [again] => assert!(in_time && (again.node == 12) == (x.node == 12), "{x:?} {again:?}"),
+                [retry] => assert!(in_time && (retry.node == 12) == (x.node == 12), "{x:?} {retry:?}"),
                 [] => assert!(failed(&actions)),
                 _ => panic!("two attempts at once"),
             }
@@ -60,7 +61,7 @@
 }
 
 #[test]
-fn the_deadline_ends_a_request_with_one_final_answer() {
+fn a_timed_out_request_gets_one_final_answer() {
     let mut s = Stage::new(settings(), &small_fleet());
     let x = s.fetch(1, 10.0);
     let actions = s.end(x, 0, Outcome::TimedOut, Note::None, 5.0);
@@ -70,7 +71,7 @@
 }
 
 #[test]
-fn a_class_out_of_range_is_failed_without_a_panic() {
+fn a_request_of_an_unknown_class_fails_without_a_panic() {
     let mut s = Stage::new(settings(), &small_fleet());
     let request = Request { class: ClassId(9), ..Request::default() };
     assert!(failed(&s.event(Event::Request(request))));
--- a/tests/policy/slow_start.rs
+++ b/tests/policy/slow_start.rs
@@ -1,10 +1,10 @@
-//! Slow start: what cold caches and cold parents are sent, by one director and by many.
+//! Slow start: the load that one director and many directors send to cold caches and cold parents.
 
 use crate::common::*;
 use onyxyoke::interface::*;
 
 #[test]
-fn a_cold_cache_gets_a_little_and_no_more_than_its_budget() {
+fn a_cold_cache_gets_some_load_within_its_budget() {
     let cold = Node { ready_at: 99.0, ..edge(10) };
     let mut s = Stage::new(settings(), &[cold, edge(11), parent(20), origin(30)]);
     let mut work: f64 = 0.0;
@@ -13,7 +13,8 @@
         work += sent(&actions).iter().filter(|x| x.node == 10 || x.source == 10).count() as f64 * 0.05;
         s.now += 0.002;
     }
-    // Present share 0.28 to 0.35 of a link unknown, taken for 2 transfers; multiple 2; window 1 s.
+    // Current share 0.28 to 0.35 of a link of unknown size, assumed to be 2 transfers; multiple 2; window 1
+    // s.
     assert!(work > 0.1 && work < 0.35 * 2.0 * 2.0, "{work}");
 }
 
@@ -31,11 +32,12 @@
 }
 
 #[test]
-fn directors_of_a_crowd_share_a_cold_budget_by_turns_and_keep_it_together() {
-    // 200 directors, each with a request every 0.4 s: 25 transfers' worth in a second, for a link of 2 when warm.
+fn many_directors_together_keep_the_budget_of_a_cold_node() {
+    // 200 directors, each with a request every 0.4 s: a load of 25 transfers per second, on a link of 2 when
+    // warm.
     for cold in [Node { ready_at: 99.0, ..parent(20) }, Node { ready_at: 99.0, ..edge(10) }] {
         let nodes = [Node { weight: 2.0, ..cold }, edge(11), origin(30)];
-        let mut at: Vec<f64> = Vec::new();
+        let mut sent_at: Vec<f64> = Vec::new();
         for me in 0..200 {
             let base = Settings { director_number: me, weights_are_link_sizes: true, ..with_peers(200) };
             let mut s = Stage::seeded(u64::from(me), Settings { directors: 200, ..base }, &nodes);
@@ -43,19 +45,19 @@
             for step in 0..20 {
                 let (_, actions) = s.ask(u64::from(me) * 1000 + step, 50.0);
                 for x in sent(&actions) {
-                    at.extend((x.node == cold.id.0 || x.source == cold.id.0).then_some(s.now));
+                    sent_at.extend((x.node == cold.id.0 || x.source == cold.id.0).then_some(s.now));
                     s.end(x, 0, Outcome::Ok, Note::Filled, 0.0);
                 }
                 s.now += 0.4;
             }
         }
-        assert!(at.len() > 20, "some do send: {}", at.len());
-        for &t in &at {
-            let work = at.iter().filter(|&&x| x > t - 1.0 && x <= t).count() as f64 * 0.05;
-            let (from, time) = if cold.kind == PARENT { (0.1, 20.0) } else { (0.2, 10.0) };
-            let part = from + (1.0 - from) * (t - 99.0) / time;
+        assert!(sent_at.len() > 20, "the cold node gets some load: {}", sent_at.len());
+        for &t in &sent_at {
+            let work = sent_at.iter().filter(|&&x| x > t - 1.0 && x <= t).count() as f64 * 0.05;
+            let (start_share, warm_up_s) = if cold.kind == PARENT { (0.1, 20.0) } else { (0.2, 10.0) };
+            let share = start_share + (1.0 - start_share) * (t - 99.0) / warm_up_s;
             // Multiple 2, link 2, window 1 s.
-            assert!(work <= 2.0 * part * 2.0, "{work} within the second to {t}");
+            assert!(work <= 2.0 * share * 2.0, "{work} in the second that ends at {t}");
         }
     }
 }
--- a/tests/policy/sources.rs
+++ b/tests/policy/sources.rs
@@ -1,10 +1,10 @@
-//! Where a miss is filled from: parents, and the origin.
+//! Sources of a cache fill: parents and the origin.
 
 use crate::common::*;
 use onyxyoke::interface::*;
 
 #[test]
-fn a_miss_is_filled_from_a_parent_and_from_the_origin_when_there_is_none() {
+fn a_miss_is_filled_from_a_parent_or_from_the_origin_without_parents() {
     let mut s = Stage::new(settings(), &small_fleet());
     assert!([20, 21].contains(&s.fetch(1, 50.0).source));
     let mut s = Stage::new(settings(), &[edge(10), origin(30)]);
@@ -12,12 +12,12 @@
 }
 
 #[test]
-fn the_quicker_parent_gets_most_of_the_fills() {
+fn the_faster_parent_gets_most_of_the_fills() {
     let mut s = Stage::new(settings(), &small_fleet());
-    let mut at = [0, 0];
+    let mut fills = [0, 0];
     for object in 1..200 {
         let sent = s.fetch(object, 50.0);
-        at[(sent.source - 20) as usize] += 1;
+        fills[(sent.source - 20) as usize] += 1;
         s.now += 0.05;
         s.event(Event::AttemptEnd {
             request: RequestId(sent.id),
@@ -31,33 +31,33 @@
             load: Vec::new(),
         });
     }
-    assert!(at[0] > 2 * at[1] && at[1] > 20, "better of two drawn: {at:?}");
+    assert!(fills[0] > 2 * fills[1] && fills[1] > 20, "the better of two random choices: {fills:?}");
 }
 
 #[test]
-fn an_origin_in_trouble_costs_neither_the_parents_nor_a_storm_of_tries() {
+fn a_failing_origin_leaves_parents_in_use_and_causes_no_retry_storm() {
     let mut s = Stage::new(settings(), &small_fleet());
     for object in 1..10 {
         let x = s.fetch(object, 10.0);
         s.end(x, 0, Outcome::Full, Note::OriginFailed, 0.001);
     }
-    assert!([20, 21].contains(&s.fetch(100, 10.0).source), "what parents hold can still be had");
+    assert!([20, 21].contains(&s.fetch(100, 10.0).source), "copies at the parents are still used");
     let mut s = Stage::new(settings(), &[edge(10), edge(11), origin(30)]);
-    let mut asked = 0;
+    let mut attempts = 0;
     for object in 1..60 {
         let (_, actions) = s.ask(object, 10.0);
         for x in sent(&actions) {
-            asked += 1;
+            attempts += 1;
             assert_eq!(x.source, 30);
             let actions = s.end(x, 0, Outcome::Full, Note::SourceRefused, 0.002);
-            assert!(refused(&actions), "turned away at once");
+            assert!(refused(&actions), "refused at once");
         }
     }
-    assert!(asked < 6, "three failures blame it, then trials only: {asked}");
+    assert!(attempts < 6, "three failures eject the origin, then only trials are sent: {attempts}");
 }
 
 #[test]
-fn an_object_is_asked_of_the_same_two_parents_by_all_directors() {
+fn all_directors_fill_an_object_from_the_same_two_parents() {
     let parents: Vec<Node> = (20..29).map(parent).collect();
     let nodes: Vec<Node> = [edge(10), origin(30)].into_iter().chain(parents).collect();
     let mut used = std::collections::BTreeSet::new();
@@ -71,47 +71,50 @@
 }
 
 #[test]
-fn a_parent_that_cannot_take_more_is_drawn_again_before_the_origin_is_asked() {
+fn a_fill_refused_by_a_parent_goes_to_another_parent_before_the_origin() {
     let nodes: Vec<Node> = (20..29).map(parent).chain([edge(10), origin(30)]).collect();
     let mut s = Stage::new(settings(), &nodes);
     let first = s.fetch(1, 20.0);
-    let again = s.end(first, 0, Outcome::Full, Note::SourceRefused, 0.01);
-    let again = sent(&again)[0];
-    assert!(again.source != first.source && again.source != 30, "{again:?}");
+    let retry = s.end(first, 0, Outcome::Full, Note::SourceRefused, 0.01);
+    let retry = sent(&retry)[0];
+    assert!(retry.source != first.source && retry.source != 30, "{retry:?}");
 }
 
 #[test]
-fn a_failing_origin_is_spared_while_parents_give_what_they_hold() {
+fn requests_to_a_failing_origin_are_few_while_parents_serve_their_copies() {
     let mut s = Stage::new(settings(), &small_fleet());
-    let mut spared = [0, 0];
+    let (mut to_origin, mut only_cached) = (0, 0);
     for object in 1..200 {
         let mut x = s.fetch(object, 20.0);
         let mut number = 0;
         while x.only_if_cached {
-            spared[1] += 1;
+            only_cached += 1;
             let next = s.end(x, number, Outcome::Miss, Note::SourceMiss, 0.001);
             let Some(&next) = sent(&next).first() else { break };
             (x, number) = (next, number + 1);
         }
         if !x.only_if_cached {
-            spared[0] += 1;
+            to_origin += 1;
             s.end(x, number, Outcome::Full, Note::OriginFailed, 0.001);
             s.expire(x.id);
         }
     }
-    assert!(spared[0] < 60 && spared[0] > 3 && spared[1] > 300, "{spared:?}");
+    assert!(to_origin < 60 && to_origin > 3 && only_cached > 300, "{to_origin} {only_cached}");
     s.now += 60.0;
     let x = s.fetch(1000, 20.0);
-    assert!(!x.only_if_cached, "trusted again after a while");
+    assert!(!x.only_if_cached, "the origin is used again after a while");
 }
 
-/// Guards the way to the parents: each hub on it costs time and bytes (rough-1 of the site's standard days), so
-/// the own hub's are drawn first, and others only while none of these can be used.
+/// Guards against long paths to parents: each hub on the path costs time and bytes (scenario rough-1 of the
+/// standard days). Parents of the own hub come first, others only while none of these can be used.
 #[test]
-fn parents_of_the_own_hub_are_drawn_before_others() {
+fn parents_of_the_own_hub_are_preferred() {
     let far = Node { zone: ZoneId(1), ..parent(21) };
     let mut s = Stage::new(settings(), &[edge(10), parent(20), far, origin(30)]);
     assert!((1..=30).all(|o| s.fetch(o, 10.0).source == 20));
     s.list(ListKind::Delta, &[Node { state: NodeState::Draining, ..parent(20) }]);
-    assert!((31..=60).all(|o| s.fetch(o, 10.0).source == 21), "the far one while the near one drains");
+    assert!(
+        (31..=60).all(|o| s.fetch(o, 10.0).source == 21),
+        "the parent of another hub while the own one drains"
+    );
 }
--- a/tests/policy/stalls.rs
+++ b/tests/policy/stalls.rs
@@ -1,94 +1,94 @@
-//! Times in which nothing was heard, because a node, the front or the machine stood still: what is late then is late
-//! for that, and no sign of a lost answer, of a node that is down or of an origin that fails.
+//! Stalls: no answer arrives for a while because a node, the front or the machine was paused. Answers that
+//! are late for this reason are no sign of a lost answer, a failed node or a failing origin.
 
 use crate::common::*;
 use onyxyoke::interface::*;
 
-/// How long nothing is heard (seconds): longer than answers are waited for.
-const SILENCE: f64 = 0.4;
-/// How far apart the answers come that were all held up (seconds).
-const BEHIND: f64 = 0.01;
-/// How long a lost answer may stay unnoticed once its node is heard again (seconds).
-const NOTICED: f64 = 0.25;
-/// Requests that are out in the silence, and those that come after it.
-const OUT: u64 = 6;
-const LATER: u64 = 20;
-/// Size of the objects (KB).
-const KB: f64 = 20.0;
-/// Time from one request to the next (seconds).
-const STEP: f64 = 0.005;
-
-/// One of the platform's fronts: no second attempt while the first is out, and no parents.
-fn stage(nodes: &[Node]) -> Clocked {
+/// Duration of a stall, longer than the time after which an answer counts as lost.
+const STALL_S: f64 = 0.4;
+/// Time between the delayed answers after a stall.
+const ANSWER_GAP_S: f64 = 0.01;
+/// Time within which a lost answer must be detected once its node answers again.
+const DETECTION_LIMIT_S: f64 = 0.25;
+/// Number of requests that are in flight during the stall.
+const REQUESTS_IN_FLIGHT: u64 = 6;
+/// Number of requests after the stall.
+const LATER_REQUESTS: u64 = 20;
+const OBJECT_KB: f64 = 20.0;
+const REQUEST_INTERVAL_S: f64 = 0.005;
+
+/// A director with the settings of the platform's front: no concurrent attempts and no parents.
+fn stage(nodes: &[Node]) -> TimedStage {
     let mut stage = Stage::new(Settings { concurrent_attempts: false, ..settings() }, nodes);
     stage.mixed();
-    Clocked { stage, alarms: Vec::new(), actions: Vec::new() }
+    TimedStage { stage, timers: Vec::new(), actions: Vec::new() }
 }
 
-/// A stage whose alarms go off when they are due.
-struct Clocked {
+/// A stage whose timers fire when they are due.
+struct TimedStage {
     stage: Stage,
-    /// When each is due, and its token.
-    alarms: Vec<(f64, u64)>,
-    /// What was ordered but alarms.
+    /// Due time and token of each timer.
+    timers: Vec<(f64, u64)>,
+    /// All actions except timers.
     actions: Vec<Action>,
 }
 
-impl Clocked {
-    /// Notes what is to be done, and sets its alarms.
-    fn take(&mut self, actions: Vec<Action>) {
+impl TimedStage {
+    /// Sets the timers of these actions and records the other actions.
+    fn apply_actions(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::SetTimer { token, after } => self.alarms.push((self.stage.now + after, token)),
+                Action::SetTimer { token, after } => self.timers.push((self.stage.now + after, token)),
                 other => self.actions.push(other),
             }
         }
     }
 
-    /// Time passes, and every alarm goes off when it is due.
-    fn pass(&mut self, seconds: f64) {
+    /// Advances the clock, firing each timer when it is due.
+    fn advance(&mut self, seconds: f64) {
         let until = self.stage.now + seconds;
-        while let Some(due) = self.next_alarm().filter(|&due| due <= until) {
+        while let Some(due) = self.next_due().filter(|&due| due <= until) {
             self.stage.now = self.stage.now.max(due);
-            self.alarms_go_off();
+            self.fire_due_timers();
         }
         self.stage.now = until;
     }
 
-    fn next_alarm(&self) -> Option<f64> {
-        self.alarms.iter().map(|alarm| alarm.0).reduce(f64::min)
+    fn next_due(&self) -> Option<f64> {
+        self.timers.iter().map(|timer| timer.0).reduce(f64::min)
     }
 
-    /// Time passes in which the front does nothing; then all alarms that are due go off at once.
-    fn stands_still(&mut self, seconds: f64) {
+    /// Advances the clock while the front is paused, then fires all due timers at once.
+    fn pause_front(&mut self, seconds: f64) {
         self.stage.now += seconds;
-        self.alarms_go_off();
+        self.fire_due_timers();
     }
 
-    /// The alarms that are due go off.
-    fn alarms_go_off(&mut self) {
+    /// Fires the timers that are due, in the order of their due times.
+    fn fire_due_timers(&mut self) {
         let now = self.stage.now;
-        let mut due: Vec<(f64, u64)> = self.alarms.extract_if(.., |alarm| alarm.0 <= now).collect();
+        let mut due: Vec<(f64, u64)> = self.timers.extract_if(.., |timer| timer.0 <= now).collect();
         due.sort_by(|a, b| a.0.total_cmp(&b.0));
         for (_, token) in due {
             let actions = self.stage.event(Event::TimerFired { token });
-            self.take(actions);
+            self.apply_actions(actions);
         }
     }
 
-    /// A request that is sent somewhere.
+    /// Issues a request for an object and returns its attempt.
     fn fetch(&mut self, object: u64) -> Sent {
-        let (_, actions) = self.stage.ask(object, KB);
+        let (_, actions) = self.stage.ask(object, OBJECT_KB);
         let sent = sent(&actions)[0];
-        self.take(actions);
+        self.apply_actions(actions);
         sent
     }
 
-    /// Requests for so many objects that no cache is believed to hold, one after the other; whither they were sent.
-    fn fetch_unknown(&mut self, first: u64, count: u64) -> Vec<Sent> {
+    /// Issues requests for `count` objects without a believed holder, one after the other, and returns their
+    /// attempts.
+    fn fetch_each(&mut self, first: u64, count: u64) -> Vec<Sent> {
         let fetch = |object| {
             let sent = self.fetch(object);
-            self.pass(STEP);
+            self.advance(REQUEST_INTERVAL_S);
             sent
         };
         (first..first + count).map(fetch).collect()
@@ -96,153 +96,155 @@
 
     fn end(&mut self, sent: Sent, number: u16, outcome: Outcome, note: Note) {
         let actions = self.stage.end(sent, number, outcome, note, 0.0);
-        self.take(actions);
+        self.apply_actions(actions);
     }
 
-    /// The client's time is up so long after the attempt was sent.
-    fn times_out(&mut self, sent: Sent, took: f64) {
+    /// Ends an attempt `took` seconds after it was sent because the client's deadline has passed.
+    fn time_out(&mut self, sent: Sent, took: f64) {
         self.stage.now -= took;
         let actions = self.stage.end(sent, 0, Outcome::TimedOut, Note::None, took);
-        self.take(actions);
+        self.apply_actions(actions);
     }
 
-    /// The withdrawn attempts have ended.
-    fn withdrawn_end(&mut self, out: &[Sent]) {
-        let withdrawn: Vec<Sent> = out.iter().copied().filter(|sent| self.is_withdrawn(sent)).collect();
-        for sent in withdrawn {
+    /// Ends the attempts that were cancelled.
+    fn end_cancelled(&mut self, attempts: &[Sent]) {
+        let cancelled: Vec<Sent> = attempts.iter().copied().filter(|sent| self.is_cancelled(sent)).collect();
+        for sent in cancelled {
             self.end(sent, 0, Outcome::Cancelled, Note::None);
         }
     }
 
-    fn is_withdrawn(&self, sent: &Sent) -> bool {
-        let withdraws =
+    fn is_cancelled(&self, sent: &Sent) -> bool {
+        let cancels =
             |action: &Action| matches!(action, Action::Cancel { request, .. } if request.0 == sent.id);
-        self.actions.iter().any(withdraws)
+        self.actions.iter().any(cancels)
     }
 
-    /// How many of so many requests for further objects are refused, each of the others being answered.
-    fn refused_of(&mut self, first: u64, count: u64) -> usize {
+    /// Issues `count` requests, answers those that are sent and returns the number of refusals.
+    fn count_refusals(&mut self, first: u64, count: u64) -> usize {
         let mut refusals = 0;
         for object in first..first + count {
-            let (_, actions) = self.stage.ask(object, KB);
+            let (_, actions) = self.stage.ask(object, OBJECT_KB);
             refusals += usize::from(refused(&actions));
             for sent in sent(&actions) {
-                self.stage.end(sent, 0, Outcome::Ok, Note::Hit, KB / 1000.0);
+                self.stage.end(sent, 0, Outcome::Ok, Note::Hit, OBJECT_KB / 1000.0);
             }
         }
         refusals
     }
 }
 
-/// Guards against answers that were only held up with their whole node, and of which the first to come may be that of
-/// the last request: the others are a moment behind it.
+/// Guards against taking answers for lost that were delayed with their whole node: the first one to arrive
+/// may belong to the last request, with the others a moment behind it.
 #[test]
-fn answers_that_come_together_after_a_silence_are_not_lost() {
+fn answers_delivered_together_after_a_stall_are_not_cancelled() {
     let mut s = stage(&[edge(10), origin(30)]);
-    let out = s.fetch_unknown(1, OUT);
-    s.pass(SILENCE);
-    for sent in out.iter().rev() {
+    let attempts = s.fetch_each(1, REQUESTS_IN_FLIGHT);
+    s.advance(STALL_S);
+    for sent in attempts.iter().rev() {
         s.end(*sent, 0, Outcome::Ok, Note::Hit);
-        s.pass(BEHIND);
-        s.withdrawn_end(&out);
+        s.advance(ANSWER_GAP_S);
+        s.end_cancelled(&attempts);
     }
-    let withdrawn = out.iter().filter(|sent| s.is_withdrawn(sent)).count();
-    assert_eq!((withdrawn, s.refused_of(100, LATER)), (0, 0), "withdrawn, and refused later");
+    let cancelled = attempts.iter().filter(|sent| s.is_cancelled(sent)).count();
+    assert_eq!((cancelled, s.count_refusals(100, LATER_REQUESTS)), (0, 0), "(cancelled, refused later)");
 }
 
-/// The same where a request that came right behind the silence is answered first.
+/// Guards against taking delayed answers for lost because a request that came right after the stall is
+/// answered first.
 #[test]
-fn answers_that_are_overtaken_right_after_a_silence_are_not_lost() {
+fn answers_overtaken_by_a_new_request_after_a_stall_are_not_cancelled() {
     let mut s = stage(&[edge(10), origin(30)]);
-    let out = s.fetch_unknown(1, OUT);
-    s.pass(SILENCE);
-    let newcomer = s.fetch(50);
-    s.pass(BEHIND);
-    s.end(newcomer, 0, Outcome::Ok, Note::Hit);
-    for sent in &out {
-        s.pass(BEHIND);
-        s.withdrawn_end(&out);
+    let attempts = s.fetch_each(1, REQUESTS_IN_FLIGHT);
+    s.advance(STALL_S);
+    let new_request = s.fetch(50);
+    s.advance(ANSWER_GAP_S);
+    s.end(new_request, 0, Outcome::Ok, Note::Hit);
+    for sent in &attempts {
+        s.advance(ANSWER_GAP_S);
+        s.end_cancelled(&attempts);
         s.end(*sent, 0, Outcome::Ok, Note::Hit);
     }
-    let withdrawn = out.iter().filter(|sent| s.is_withdrawn(sent)).count();
-    assert_eq!((withdrawn, s.refused_of(100, LATER)), (0, 0), "withdrawn, and refused later");
+    let cancelled = attempts.iter().filter(|sent| s.is_cancelled(sent)).count();
+    assert_eq!((cancelled, s.count_refusals(100, LATER_REQUESTS)), (0, 0), "(cancelled, refused later)");
 }
 
-/// An answer that is really lost is noticed a moment after its node is heard again.
+/// An answer that is really lost must be detected shortly after its node answers again.
 #[test]
-fn an_answer_that_was_lost_in_a_silence_is_asked_for_again() {
+fn an_answer_lost_in_a_stall_is_cancelled_soon_after_the_stall() {
     let mut s = stage(&[edge(10), origin(30)]);
-    let out = s.fetch_unknown(1, OUT);
-    s.pass(SILENCE);
-    for sent in &out[1..] {
+    let attempts = s.fetch_each(1, REQUESTS_IN_FLIGHT);
+    s.advance(STALL_S);
+    for sent in &attempts[1..] {
         s.end(*sent, 0, Outcome::Ok, Note::Hit);
-        s.pass(BEHIND);
+        s.advance(ANSWER_GAP_S);
     }
-    s.pass(NOTICED - (OUT - 1) as f64 * BEHIND);
-    assert!(s.is_withdrawn(&out[0]), "{:?}", s.actions);
+    s.advance(DETECTION_LIMIT_S - (REQUESTS_IN_FLIGHT - 1) as f64 * ANSWER_GAP_S);
+    assert!(s.is_cancelled(&attempts[0]), "{:?}", s.actions);
 }
 
-/// Guards a node's health where the front itself, or its machine, stood still: its alarms come first, late, and what
-/// came meanwhile is read behind them.
+/// Guards against ejecting a node because the front or its machine was paused: after the pause the overdue
+/// timers fire first, and the answers that arrived meanwhile are read after them.
 #[test]
-fn a_front_that_stood_still_blames_nobody_for_it() {
+fn a_pause_of_the_front_ejects_no_node() {
     let mut s = stage(&[edge(10), edge(11), origin(30)]);
-    let out = s.fetch_unknown(1, 4 * OUT);
-    let of = |node: u64| out.iter().copied().filter(move |sent| sent.node == node);
-    // One cache has answered something that went later than what the other was asked first.
-    let first = of(11).next_back().expect("some of cache 11");
+    let attempts = s.fetch_each(1, 4 * REQUESTS_IN_FLIGHT);
+    let of = |node: u64| attempts.iter().copied().filter(move |sent| sent.node == node);
+    // One cache has answered a request that was sent after the first request of the other cache.
+    let first = of(11).next_back().expect("some request at cache 11");
     s.end(first, 0, Outcome::Ok, Note::Hit);
-    s.stands_still(SILENCE);
-    s.stands_still(0.0);
+    s.pause_front(STALL_S);
+    s.pause_front(0.0);
     let now = s.stage.now;
-    assert!(!s.stage.director.is_ejected(now, NodeId(10)), "blamed");
-    for sent in out.iter().filter(|sent| sent.id != first.id) {
-        s.withdrawn_end(&out);
+    assert!(!s.stage.director.is_ejected(now, NodeId(10)), "cache 10 was ejected");
+    for sent in attempts.iter().filter(|sent| sent.id != first.id) {
+        s.end_cancelled(&attempts);
         s.end(*sent, 0, Outcome::Ok, Note::Hit);
     }
-    let withdrawn = out.iter().filter(|sent| s.is_withdrawn(sent)).count();
-    assert_eq!((withdrawn, s.refused_of(100, LATER)), (0, 0), "withdrawn, and refused later");
+    let cancelled = attempts.iter().filter(|sent| s.is_cancelled(sent)).count();
+    assert_eq!((cancelled, s.count_refusals(100, LATER_REQUESTS)), (0, 0), "(cancelled, refused later)");
 }
 
-/// Guards health and the origin's record where clients' times run out while the front stands still.
+/// Guards the health of the node and of the origin when clients' deadlines pass while the front is paused.
 #[test]
-fn times_that_run_out_while_the_front_stands_still_blame_nobody() {
+fn client_timeouts_during_a_pause_of_the_front_cause_no_refusals() {
     let mut s = stage(&[edge(10), origin(30)]);
-    s.stage.patience = SILENCE / 2.0;
-    let out = s.fetch_unknown(1, OUT);
+    s.stage.patience = STALL_S / 2.0;
+    let attempts = s.fetch_each(1, REQUESTS_IN_FLIGHT);
     s.stage.patience = 5.0;
-    s.stands_still(SILENCE);
-    for sent in &out {
-        s.times_out(*sent, SILENCE);
+    s.pause_front(STALL_S);
+    for sent in &attempts {
+        s.time_out(*sent, STALL_S);
     }
-    assert_eq!(s.refused_of(100, LATER), 0);
+    assert_eq!(s.count_refusals(100, LATER_REQUESTS), 0);
 }
 
-/// What waits for a moment after a silence does not wait where there was none.
+/// The extra wait after a stall must not delay the detection of a lost answer where there was no stall.
 #[test]
-fn a_lost_answer_is_noticed_at_once_where_its_node_was_never_silent() {
+fn a_lost_answer_is_cancelled_when_its_timer_fires_without_a_stall() {
     let mut s = stage(&[edge(10), origin(30)]);
     let lost = s.fetch(1);
-    let due = s.next_alarm().expect("it is looked at");
+    let due = s.next_due().expect("a timer is set for the attempt");
     while s.stage.now < due {
         let other = s.fetch(2);
-        s.pass(BEHIND);
+        s.advance(ANSWER_GAP_S);
         s.end(other, 0, Outcome::Ok, Note::Hit);
     }
-    assert!(s.is_withdrawn(&lost), "{:?}", s.actions);
+    assert!(s.is_cancelled(&lost), "{:?}", s.actions);
 }
 
-/// Nor does it wait for ever where each answer ends a silence, and the front is too busy to look before the next.
+/// Guards against postponing the detection for ever where each answer ends a stall and the front is too busy
+/// to run a timer before the next one.
 #[test]
-fn a_lost_answer_is_noticed_though_each_answer_ends_a_silence() {
+fn a_lost_answer_is_cancelled_though_each_answer_ends_a_stall() {
     let mut s = stage(&[edge(10), origin(30)]);
     let lost = s.fetch(1);
-    let begun = s.stage.now;
-    while !s.is_withdrawn(&lost) {
-        assert!(s.stage.now < begun + 1.0, "waited for too long");
+    let sent_at = s.stage.now;
+    while !s.is_cancelled(&lost) {
+        assert!(s.stage.now < sent_at + 1.0, "the lost answer was not detected in 1 s");
         let other = s.fetch(2);
-        s.stage.now += 2.0 * BEHIND + 0.1;
+        s.stage.now += 2.0 * ANSWER_GAP_S + 0.1;
         s.end(other, 0, Outcome::Ok, Note::Hit);
-        s.alarms_go_off();
+        s.fire_due_timers();
     }
 }
