--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,4 +1,5 @@
-//! Random legal event sequences: the rules that can be seen from actions hold on each of them.
+//! Property tests on random legal event sequences: the rules that are visible in the actions hold on each of
+//! them.
 
 mod common;
 use common::*;
@@ -10,30 +11,52 @@
 
 #[derive(Debug, Clone)]
 enum Step {
-    Pass(u16),
-    Ask { object: u8, left: u16, kb: u16 },
-    End { which: u8, how: u8 },
-    Fire { which: u8 },
-    List { kind: u8, bits: u16 },
-    Purge { object: u8, whole: bool, age: u8 },
+    /// Advances the clock (ms).
+    Advance(u16),
+    /// Issues a request that expires in `ttl_ms`.
+    Request {
+        object: u8,
+        ttl_ms: u16,
+        kb: u16,
+    },
+    /// Ends one of the attempts in flight with an entry of [`ENDINGS`].
+    EndAttempt {
+        index: u8,
+        ending: u8,
+    },
+    FireTimer {
+        index: u8,
+    },
+    List {
+        kind: u8,
+        bits: u16,
+    },
+    /// Purges an object or its whole group, `age` tenths of a second ago.
+    Purge {
+        object: u8,
+        whole_group: bool,
+        age: u8,
+    },
     Message(Vec<u8>),
     Restart(u64),
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        4 => (0u16..400).prop_map(Step::Pass),
-        8 => (0u8..12, 0u16..3000, 0u16..900).prop_map(|(object, left, kb)| Step::Ask { object, left, kb }),
-        10 => (any::<u8>(), 0u8..19).prop_map(|(which, how)| Step::End { which, how }),
-        6 => any::<u8>().prop_map(|which| Step::Fire { which }),
+        4 => (0u16..400).prop_map(Step::Advance),
+        8 => (0u8..12, 0u16..3000, 0u16..900)
+            .prop_map(|(object, ttl_ms, kb)| Step::Request { object, ttl_ms, kb }),
+        10 => (any::<u8>(), 0u8..19).prop_map(|(index, ending)| Step::EndAttempt { index, ending }),
+        6 => any::<u8>().prop_map(|index| Step::FireTimer { index }),
         2 => (0u8..4, any::<u16>()).prop_map(|(kind, bits)| Step::List { kind, bits }),
-        1 => (0u8..12, any::<bool>(), 0u8..80).prop_map(|(object, whole, age)| Step::Purge { object, whole, age }),
+        1 => (0u8..12, any::<bool>(), 0u8..80)
+            .prop_map(|(object, whole_group, age)| Step::Purge { object, whole_group, age }),
         1 => proptest::collection::vec(any::<u8>(), 0..20).prop_map(Step::Message),
         1 => any::<u64>().prop_map(Step::Restart),
     ]
 }
 
-/// How an attempt may end, and what its note tells.
+/// Outcomes of an attempt, each with the note that comes with it.
 const ENDINGS: [(Outcome, Note); 19] = [
     (Outcome::Ok, Note::Hit),
     (Outcome::Ok, Note::Filled),
@@ -58,22 +81,22 @@
 
 const LIST_KINDS: [ListKind; 4] = [ListKind::Delta, ListKind::Full, ListKind::Cached, ListKind::Failed];
 
-/// An attempt of a request.
 struct Attempt {
     node: u64,
     sent_at: f64,
     may_have_run: bool,
-    out: bool,
+    in_flight: bool,
 }
 
-/// A request, and what has become of it so far.
-struct AskedRequest {
+/// A request with its attempts so far.
+struct RequestState {
     request: Request,
     attempts: Vec<Attempt>,
+    /// Whether it has had its final answer.
     answered: bool,
 }
 
-/// What a director sends an attempt with.
+/// Fields of a fetch action that the rules check.
 #[derive(Clone, Copy)]
 struct FetchOrder {
     request: RequestId,
@@ -83,22 +106,23 @@
     within: f64,
 }
 
-/// The world as the rules see it, around one director that may be restarted.
-struct World {
+/// Model of the system around one director, which may be restarted.
+struct Model {
     settings: Settings,
     director: Director,
     now: f64,
     last_request: u32,
-    asked: BTreeMap<u32, AskedRequest>,
-    alarms: Vec<u64>,
+    requests: BTreeMap<u32, RequestState>,
+    /// Tokens of the timers that are set.
+    timers: Vec<u64>,
     nodes: BTreeMap<u64, Node>,
-    /// When objects (true) and groups (false) were purged last, by number.
-    purged: BTreeMap<(bool, u64), f64>,
+    /// Time of the last purge of each object (true) and group (false), by number.
+    purged_at: BTreeMap<(bool, u64), f64>,
     log: Vec<Action>,
 }
 
-/// The rules, checked on each action.
-impl World {
+/// Checks of the rules on each action.
+impl Model {
     fn check(&mut self, action: &Action) {
         match *action {
             Action::Fetch { request, node, source, age, within, .. } => {
@@ -107,56 +131,56 @@
             Action::Refuse { request, wait } => self.check_refusal(request, wait),
             Action::Fail { request } => self.check_failure(request),
             Action::Cancel { request, attempt } => self.check_cancel(request, attempt),
-            Action::SetTimer { token, after } => self.check_alarm(token, after),
+            Action::SetTimer { token, after } => self.check_timer(token, after),
             Action::Probe { .. } => assert!(self.settings.probes),
             Action::SendMessage { .. } => assert!(self.settings.messages),
             Action::Watch { .. } | Action::ReadList => {}
         }
     }
 
-    fn asked(&self, request: RequestId) -> &AskedRequest {
-        self.asked.get(&request.0).expect("only requests that were asked")
+    fn request_state(&self, request: RequestId) -> &RequestState {
+        self.requests.get(&request.0).expect("an action names a known request")
     }
 
-    fn asked_mut(&mut self, request: RequestId) -> &mut AskedRequest {
-        self.asked.get_mut(&request.0).expect("only requests that were asked")
+    fn request_state_mut(&mut self, request: RequestId) -> &mut RequestState {
+        self.requests.get_mut(&request.0).expect("an action names a known request")
     }
 
-    fn class(&self, asked: &AskedRequest) -> &Class {
-        &self.settings.classes[usize::from(asked.request.class.0)]
+    fn class(&self, state: &RequestState) -> &Class {
+        &self.settings.classes[usize::from(state.request.class.0)]
     }
 
     fn check_fetch(&mut self, order: FetchOrder) {
-        let asked = self.asked(order.request);
-        assert!(!asked.answered, "nothing is sent after the final answer");
-        assert!(self.now < asked.request.expires, "nor after the deadline");
+        let state = self.request_state(order.request);
+        assert!(!state.answered, "an attempt is sent after the final answer");
+        assert!(self.now < state.request.expires, "an attempt is sent after the deadline");
         self.check_nodes(order);
         if !self.settings.concurrent_attempts {
-            assert!(asked.attempts.iter().all(|attempt| !attempt.out), "one attempt at a time");
+            assert!(state.attempts.iter().all(|attempt| !attempt.in_flight), "two attempts are in flight");
         }
-        self.check_effects(asked, order.node);
-        self.check_age_limit(asked, order.age);
+        self.check_effects(state, order.node);
+        self.check_age_limit(state, order.age);
         assert!(order.age.is_finite() && order.age >= 0.0 && order.within >= 0.0);
-        assert!(asked.attempts.len() < usize::from(self.settings.max_attempts));
-        let attempt = Attempt { node: order.node.0, sent_at: self.now, may_have_run: true, out: true };
-        self.asked_mut(order.request).attempts.push(attempt);
+        assert!(state.attempts.len() < usize::from(self.settings.max_attempts));
+        let attempt = Attempt { node: order.node.0, sent_at: self.now, may_have_run: true, in_flight: true };
+        self.request_state_mut(order.request).attempts.push(attempt);
     }
 
     fn check_nodes(&self, order: FetchOrder) {
-        for who in [order.node, order.source] {
-            assert_eq!(self.nodes[&who.0].state, NodeState::Ready, "drains are kept");
+        for node in [order.node, order.source] {
+            assert_eq!(self.nodes[&node.0].state, NodeState::Ready, "only ready nodes are used");
         }
         let zone = self.nodes[&order.node.0].zone;
-        assert_eq!(zone, self.settings.own_zone, "caches of the own zone only");
+        assert_eq!(zone, self.settings.own_zone, "only caches of the own zone are used");
     }
 
-    /// What may have run already runs again only where that has no second effect.
-    fn check_effects(&self, asked: &AskedRequest, node: NodeId) {
-        let class = self.class(asked);
-        for attempt in asked.attempts.iter().filter(|attempt| attempt.may_have_run) {
+    /// A request that may have run is sent again only where that has no second effect.
+    fn check_effects(&self, state: &RequestState, node: NodeId) {
+        let class = self.class(state);
+        for attempt in state.attempts.iter().filter(|attempt| attempt.may_have_run) {
             match class.effect {
                 Effect::Safe => {}
-                Effect::Unsafe => panic!("no effect twice"),
+                Effect::Unsafe => panic!("an unsafe request may have its effect twice"),
                 Effect::Keyed(_) => {
                     assert_eq!(self.nodes[&attempt.node].cell, self.nodes[&node.0].cell);
                     assert!(self.now < attempt.sent_at + class.key_ttl);
@@ -165,44 +189,45 @@
         }
     }
 
-    /// No copy from before a purge of the object or of its group is let through.
-    fn check_age_limit(&self, asked: &AskedRequest, age: f64) {
-        let facts = [(true, asked.request.object.0), (false, u64::from(asked.request.group.0))];
-        for at in facts.iter().filter_map(|fact| self.purged.get(fact)) {
+    /// The age limit excludes copies from before a purge of the object or of its group.
+    fn check_age_limit(&self, state: &RequestState, age: f64) {
+        let keys = [(true, state.request.object.0), (false, u64::from(state.request.group.0))];
+        for at in keys.iter().filter_map(|key| self.purged_at.get(key)) {
             let since = self.now - at;
-            let fine = age > 0.0 && age <= since.max(0.001) || since >= self.settings.purge_settle_time;
-            assert!(fine, "an age limit of {age} {since} s after a purge");
+            let limit_suffices =
+                age > 0.0 && age <= since.max(0.001) || since >= self.settings.purge_settle_time;
+            assert!(limit_suffices, "an age limit of {age} {since} s after a purge");
         }
     }
 
     fn check_refusal(&mut self, request: RequestId, wait: f64) {
-        let asked = self.asked(request);
-        if !matches!(self.class(asked).effect, Effect::Safe | Effect::Keyed(Scope::All)) {
-            let nothing_ran = asked.attempts.iter().all(|attempt| !attempt.may_have_run);
-            assert!(nothing_ran, "a refusal promises that nothing ran");
+        let state = self.request_state(request);
+        if !matches!(self.class(state).effect, Effect::Safe | Effect::Keyed(Scope::All)) {
+            let nothing_ran = state.attempts.iter().all(|attempt| !attempt.may_have_run);
+            assert!(nothing_ran, "a refusal is sent for a request that may have run");
         }
-        assert!(!asked.answered && (0.0..=self.settings.max_retry_after).contains(&wait));
-        self.asked_mut(request).answered = true;
+        assert!(!state.answered && (0.0..=self.settings.max_retry_after).contains(&wait));
+        self.request_state_mut(request).answered = true;
     }
 
     fn check_failure(&mut self, request: RequestId) {
-        let asked = self.asked_mut(request);
-        assert!(!asked.answered, "one final answer");
-        asked.answered = true;
+        let state = self.request_state_mut(request);
+        assert!(!state.answered, "a request gets a second final answer");
+        state.answered = true;
     }
 
     fn check_cancel(&self, request: RequestId, attempt: u16) {
-        assert!(usize::from(attempt) < self.asked[&request.0].attempts.len() && self.settings.cancel);
+        assert!(usize::from(attempt) < self.requests[&request.0].attempts.len() && self.settings.cancel);
     }
 
-    fn check_alarm(&mut self, token: u64, after: f64) {
+    fn check_timer(&mut self, token: u64, after: f64) {
         assert!(after > 0.0 && after.is_finite());
-        self.alarms.push(token);
+        self.timers.push(token);
     }
 }
 
-/// What happens.
-impl World {
+/// Events that happen to the director.
+impl Model {
     fn event(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.director.handle(self.now, event, &mut actions);
@@ -214,13 +239,13 @@
 
     fn end(&mut self, id: u32, number: usize, outcome: Outcome, note: Note) {
         let now = self.now;
-        let asked = self.asked.get_mut(&id).expect("known");
-        let attempt = &mut asked.attempts[number];
-        attempt.out = false;
+        let state = self.requests.get_mut(&id).expect("a known request");
+        let attempt = &mut state.attempts[number];
+        attempt.in_flight = false;
         attempt.may_have_run = !outcome.never_ran();
         let (node, took) = (NodeId(attempt.node), now - attempt.sent_at);
-        asked.answered |= outcome == Outcome::Ok;
-        let done = asked.answered;
+        state.answered |= outcome == Outcome::Ok;
+        let done = state.answered;
         let load = vec![0.5, 2.0];
         self.event(Event::AttemptEnd {
             request: RequestId(id),
@@ -235,19 +260,19 @@
         });
     }
 
-    /// The attempts that are out, by request and number.
-    fn outstanding(&self) -> Vec<(u32, usize)> {
-        let out = |(id, asked): (&u32, &AskedRequest)| -> Vec<(u32, usize)> {
-            let numbers = (0..asked.attempts.len()).filter(|&number| asked.attempts[number].out);
+    /// Request and number of each attempt in flight.
+    fn attempts_in_flight(&self) -> Vec<(u32, usize)> {
+        let in_flight = |(id, state): (&u32, &RequestState)| -> Vec<(u32, usize)> {
+            let numbers = (0..state.attempts.len()).filter(|&number| state.attempts[number].in_flight);
             numbers.map(|number| (*id, number)).collect()
         };
-        self.asked.iter().flat_map(out).collect()
+        self.requests.iter().flat_map(in_flight).collect()
     }
 
-    /// Every deadline that has passed brings a time-out, as hosts do.
-    fn deadlines(&mut self) {
-        let mut due = self.outstanding();
-        due.retain(|(id, _)| self.asked[id].request.expires <= self.now);
+    /// Ends each attempt whose deadline has passed with a timeout, as hosts do.
+    fn time_out_expired(&mut self) {
+        let mut due = self.attempts_in_flight();
+        due.retain(|(id, _)| self.requests[id].request.expires <= self.now);
         for (id, number) in due {
             self.end(id, number, Outcome::TimedOut, Note::None);
         }
@@ -255,62 +280,63 @@
 
     fn step(&mut self, step: &Step) {
         match *step {
-            Step::Pass(ms) => self.now += f64::from(ms) / 1000.0,
-            Step::Ask { object, left, kb } => self.ask(object, left, kb),
-            Step::End { which, how } => {
-                if !self.end_one(which, how) {
+            Step::Advance(ms) => self.now += f64::from(ms) / 1000.0,
+            Step::Request { object, ttl_ms, kb } => self.issue_request(object, ttl_ms, kb),
+            Step::EndAttempt { index, ending } => {
+                if !self.end_attempt(index, ending) {
                     return;
                 }
             }
-            Step::Fire { which } => self.fire(which),
+            Step::FireTimer { index } => self.fire_timer(index),
             Step::List { kind, bits } => self.list(LIST_KINDS[usize::from(kind)], bits),
-            Step::Purge { object, whole, age } => self.purge(object, whole, age),
+            Step::Purge { object, whole_group, age } => self.purge(object, whole_group, age),
             Step::Message(ref content) => self.message(content),
             Step::Restart(seed) => self.restart(seed),
         }
-        self.deadlines();
+        self.time_out_expired();
     }
 
-    fn ask(&mut self, object: u8, left: u16, kb: u16) {
+    fn issue_request(&mut self, object: u8, ttl_ms: u16, kb: u16) {
         self.last_request += 1;
         let request = Request {
             id: RequestId(self.last_request),
             object: ObjectId(u64::from(object) + 1),
             group: GroupId(u32::from(object) % 3),
             class: ClassId(u16::from(object) % 3),
-            expires: self.now + f64::from(left) / 1000.0,
+            expires: self.now + f64::from(ttl_ms) / 1000.0,
             kb: f64::from(kb),
             ..Request::default()
         };
-        let asked = AskedRequest { request, attempts: Vec::new(), answered: false };
-        self.asked.insert(self.last_request, asked);
+        let state = RequestState { request, attempts: Vec::new(), answered: false };
+        self.requests.insert(self.last_request, state);
         self.event(Event::Request(request));
     }
 
-    /// Ends one of the attempts that are out; false if there is none.
-    fn end_one(&mut self, which: u8, how: u8) -> bool {
-        let out = self.outstanding();
-        let Some(&(id, number)) = out.get(usize::from(which) % out.len().max(1)) else { return false };
-        let (outcome, note) = ENDINGS[usize::from(how) % ENDINGS.len()];
+    /// Ends one of the attempts in flight. Returns false if there is none.
+    fn end_attempt(&mut self, index: u8, ending: u8) -> bool {
+        let in_flight = self.attempts_in_flight();
+        let index = usize::from(index) % in_flight.len().max(1);
+        let Some(&(id, number)) = in_flight.get(index) else { return false };
+        let (outcome, note) = ENDINGS[usize::from(ending) % ENDINGS.len()];
         self.end(id, number, outcome, note);
         true
     }
 
-    /// One of the alarms that are set goes off or, if none is, one that nobody set.
-    fn fire(&mut self, which: u8) {
-        let token = match self.alarms.len() {
-            0 => u64::from(which),
-            n => self.alarms.swap_remove(usize::from(which) % n),
+    /// Fires one of the timers that are set or, without one, a timer with an unknown token.
+    fn fire_timer(&mut self, index: u8) {
+        let token = match self.timers.len() {
+            0 => u64::from(index),
+            n => self.timers.swap_remove(usize::from(index) % n),
         };
         self.event(Event::TimerFired { token });
     }
 
     fn list(&mut self, kind: ListKind, bits: u16) {
-        let news = if kind == ListKind::Failed { Vec::new() } else { self.change_nodes(bits) };
+        let nodes = if kind == ListKind::Failed { Vec::new() } else { self.change_nodes(bits) };
         if matches!(kind, ListKind::Full | ListKind::Cached) {
-            self.remove_absent(&news);
+            self.remove_absent(&nodes);
         }
-        self.event(Event::List { kind, nodes: news.into() });
+        self.event(Event::List { kind, nodes: nodes.into() });
     }
 
     /// Changes the nodes that the bits choose, and returns them.
@@ -330,7 +356,7 @@
         changed
     }
 
-    /// What a whole list lacks is gone.
+    /// Withdraws the nodes that a full list lacks.
     fn remove_absent(&mut self, listed: &[Node]) {
         let absent = |node: &&mut Node| !listed.iter().any(|other| other.id == node.id);
         for node in self.nodes.values_mut().filter(absent) {
@@ -338,49 +364,52 @@
         }
     }
 
-    fn purge(&mut self, object: u8, whole: bool, age: u8) {
+    fn purge(&mut self, object: u8, whole_group: bool, age: u8) {
         let age = f64::from(age) / 10.0;
         let group = GroupId(u32::from(object) % 3);
-        let named = u64::from(object) + 1;
-        let fact = if whole { (false, u64::from(group.0)) } else { (true, named) };
-        let at = self.purged.entry(fact).or_insert(f64::MIN);
+        let object = u64::from(object) + 1;
+        let key = if whole_group { (false, u64::from(group.0)) } else { (true, object) };
+        let at = self.purged_at.entry(key).or_insert(f64::MIN);
         *at = at.max(self.now - age);
-        let object = (!whole).then_some(ObjectId(named));
+        let object = (!whole_group).then_some(ObjectId(object));
         self.event(Event::Purged { object, group, age });
     }
 
-    /// A peer says something, and a probe that nobody sent fails.
+    /// Delivers a message of a peer and the failure of a probe that was never sent.
     fn message(&mut self, content: &[u8]) {
         self.event(Event::Message { from: PeerId(1), content: content.to_vec() });
         let (node, outcome) = (NodeId(999), Outcome::Reset);
         self.event(Event::ProbeEnd { node, outcome, took: 0.1, load: vec![] });
     }
 
-    /// What a killed director held is the client's to repeat; its purges of late are told again.
+    /// Replaces the director as after a crash: clients repeat their requests, and the host repeats the recent
+    /// purges.
     fn restart(&mut self, seed: u64) {
         self.director = Director::new(seed, self.settings.clone());
-        self.asked.clear();
-        self.alarms.clear();
+        self.requests.clear();
+        self.timers.clear();
         let listed = self.nodes.values().copied().filter(|node| node.state != NodeState::Withdrawn);
         let nodes: Vec<Node> = listed.collect();
         self.event(Event::List { kind: ListKind::Cached, nodes: nodes.into() });
-        for (fact, at) in self.purged.clone() {
-            let object = fact.0.then_some(ObjectId(fact.1));
-            let group = GroupId(if fact.0 { ((fact.1 - 1) % 3) as u32 } else { fact.1 as u32 });
+        for ((is_object, number), at) in self.purged_at.clone() {
+            let object = is_object.then_some(ObjectId(number));
+            let group = GroupId(if is_object { ((number - 1) % 3) as u32 } else { number as u32 });
             self.event(Event::Purged { object, group, age: self.now - at });
         }
     }
 }
 
-/// What is drawn of the fleet: directors of the zone (zero is legal), whether parents are cold, notes.
+/// Random properties of the fleet: number of directors in the zone (zero is legal), whether parents are cold,
+/// and whether notes carry all details.
 type Fleet = (u16, bool, bool);
 
-fn play(duplicate: bool, (here, cold, told): Fleet, steps: &[Step]) -> Vec<Action> {
+/// Runs the steps against a new model and returns all actions of the director.
+fn run_steps(concurrent_attempts: bool, (directors, cold, all_notes): Fleet, steps: &[Step]) -> Vec<Action> {
     let mut settings = settings();
-    settings.concurrent_attempts = duplicate;
-    settings.directors = here.saturating_mul(20);
-    settings.directors_by_zone = vec![0, 0, here, here, 1];
-    settings.note_detail = if told { NoteDetail::All } else { NoteDetail::Hit };
+    settings.concurrent_attempts = concurrent_attempts;
+    settings.directors = directors.saturating_mul(20);
+    settings.directors_by_zone = vec![0, 0, directors, directors, 1];
+    settings.note_detail = if all_notes { NoteDetail::All } else { NoteDetail::Hit };
     let cold_parent = |id| Node { ready_at: if cold { 49.0 } else { 0.0 }, ..parent(id) };
     settings.report_fields = vec!["busy".into(), "x1".into()];
     let base = settings.classes[0].clone();
@@ -401,38 +430,38 @@
         Node { zone: ZoneId(3), ..edge(22) },
         origin(30),
     ];
-    let mut world = World {
+    let mut model = Model {
         director: Director::new(3, settings.clone()),
         settings,
         now: 50.0,
         last_request: 0,
-        asked: BTreeMap::new(),
-        alarms: Vec::new(),
+        requests: BTreeMap::new(),
+        timers: Vec::new(),
         nodes: nodes.iter().map(|n| (n.id.0, *n)).collect(),
-        purged: BTreeMap::new(),
+        purged_at: BTreeMap::new(),
         log: Vec::new(),
     };
-    world.event(Event::List { kind: ListKind::Cached, nodes: nodes.into() });
+    model.event(Event::List { kind: ListKind::Cached, nodes: nodes.into() });
     for step in steps {
-        world.step(step);
+        model.step(step);
     }
-    world.now += 10.0;
-    world.deadlines();
-    let open: Vec<&u32> = world.asked.iter().filter(|a| !a.1.answered).map(|a| a.0).collect();
+    model.now += 10.0;
+    model.time_out_expired();
+    let open: Vec<&u32> = model.requests.iter().filter(|r| !r.1.answered).map(|r| r.0).collect();
     assert!(open.is_empty(), "requests without a final answer: {open:?}");
-    world.log
+    model.log
 }
 
 #[test]
-fn the_rules_hold_on_random_sequences_and_the_same_events_give_the_same_actions() {
+fn rules_hold_on_random_event_sequences_and_actions_are_deterministic() {
     let config = Config { cases: 400, failure_persistence: None, ..Config::default() };
     let mut runner = TestRunner::new_with_rng(config, TestRng::deterministic_rng(RngAlgorithm::ChaCha));
     let fleet = (prop_oneof![Just(0u16), 1u16..3, 3u16..400], any::<bool>(), any::<bool>());
     let strategy = (any::<bool>(), fleet, proptest::collection::vec(step(), 1..250));
     runner
-        .run(&strategy, |(duplicate, fleet, steps)| {
-            let first = play(duplicate, fleet, &steps);
-            assert_eq!(first, play(duplicate, fleet, &steps));
+        .run(&strategy, |(concurrent_attempts, fleet, steps)| {
+            let first = run_steps(concurrent_attempts, fleet, &steps);
+            assert_eq!(first, run_steps(concurrent_attempts, fleet, &steps));
             Ok(())
         })
         .unwrap();
