--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -1,4 +1,5 @@
-//! The platform's front as a process, against stand-ins for the coordinator, cache nodes and clients.
+//! The platform's front, which runs as a process against stand-ins for the coordinator, cache nodes and
+//! clients.
 
 mod stand_ins;
 use serde_json::{Value, json};
@@ -12,7 +13,7 @@
 }
 
 #[test]
-fn requests_aborts_and_bad_input_go_as_the_protocol_says() {
+fn requests_aborts_and_invalid_input_follow_the_protocol() {
     let (node, served) = one_cache("protocol");
     let mut c = node.connect();
     c.send(&["HEALTH", "8", ""]);
@@ -24,10 +25,13 @@
         ("00000000000000a1", Some(OBJECT), Some("e9"))
     );
     let patience: f64 = asked.field("patience").unwrap().parse().unwrap();
-    assert!(patience > 0.0 && patience < 3000.0, "a margin before the client gives up: {patience}");
+    assert!(
+        patience > 0.0 && patience < 3000.0,
+        "the patience leaves a margin before the client gives up: {patience}"
+    );
     asked.answer("VALID", &format!("n=TCP_HIT,etag=e9,made={}", (unix() * 1000.0) as u64), b"");
     assert_eq!(c.answer(), ["1", "ok", "current=1", ""]);
-    // Answers come in any order, whole and unchanged.
+    // Answers are forwarded in any order, complete and unchanged.
     c.ask("2", 0xa2, "");
     c.ask("3", 0xa3, "");
     let (mut second, mut third) = (next(&served), next(&served));
@@ -35,23 +39,23 @@
     assert_eq!(c.answer(), ["3", "ok", "", "three\r\n"]);
     second.hit(b"two");
     assert_eq!(c.answer(), ["2", "ok", "", "two"]);
-    // After an abort none is owed, and the cache node hears of it.
+    // An aborted request gets no answer, and the cache node gets a cancel.
     c.ask("4", 0xa4, "");
     let asked = next(&served);
     c.send(&["ABORT", "4"]);
     let cancel = next(&served);
     assert_eq!((&*cancel.verb, &cancel.id), ("cancel", &asked.id));
-    // Unusable, but its tag can be read.
+    // Commands that are invalid but have a readable tag.
     c.send(&["REQ", "5", "media", "ttl=100", ""]);
     assert_eq!(c.answer()[..2], ["5", "fault"]);
     c.send(&["REQ", "6", "novels", "ttl=100", ""]);
     assert_eq!(c.answer()[..2], ["6", "fault"]);
     c.send(&["DANCE", "7"]);
     assert_eq!(c.answer()[..2], ["7", "fault"]);
-    // More than 32 open: refused at once, with the time to keep away.
+    // A request beyond 32 open ones is refused at once with a pushback.
     (0..33).for_each(|i| c.ask(&(100 + i).to_string(), 0xb00 + i, ""));
     assert_eq!(c.answer(), ["132", "full", "pushback=500", ""]);
-    // Unreadable: this connection is closed and that is logged; another is not touched.
+    // Bytes that cannot be parsed: this connection is closed with a log line, other connections stay open.
     let mut bad = node.connect();
     bad.stream.write_all(b"GET / HTTP/1.1\r\n\r\n").unwrap();
     assert!(bad.closed());
@@ -64,10 +68,10 @@
     assert_eq!(c.answer()[..2], ["9", "yes"]);
 }
 
-/// Guards against news that come too late for a request: what is decided after a drain or a purge heeds it,
-/// whatever the connection to the coordinator went through.
+/// Guards against lost updates of the coordinator: requests after a drain or a purge must respect it,
+/// whatever happened to the connection to the coordinator.
 #[test]
-fn the_feed_is_followed_across_connections() {
+fn coordinator_updates_are_followed_across_connections() {
     let ((cache, served), (twin, other)) = (cache_node(), cache_node());
     let members = vec![
         member(EDGE, "standard", cache),
@@ -76,23 +80,23 @@
     ];
     let node = Node::start("feed", members, |_| ());
     let (last, mut feed) = node.feeds.recv_timeout(PATIENCE).unwrap();
-    assert_eq!(last, 3, "from the last number that is known");
+    assert_eq!(last, 3, "the feed starts after the last known number");
     let purge = |at: f64| [&17u16.to_be_bytes()[..], &((at * 1000.0) as u64).to_be_bytes()].concat();
     feed.write_all(&frame(4, 4, &purge(unix()))).unwrap();
-    // A gap: the front asks again from the last number that it had.
+    // After a gap in the numbers the front reconnects from the last number it has.
     feed.write_all(&frame(9, 4, &purge(unix()))).unwrap();
     let (last, mut feed) = node.feeds.recv_timeout(PATIENCE).unwrap();
     assert_eq!(last, 4);
-    // One comes twice, then one of the two caches drains.
+    // A repeated update, then the drain of one of the two caches.
     let mut record = EDGE.to_be_bytes().to_vec();
     record.extend([127, 0, 0, 1]);
     record.extend(cache.port().to_be_bytes());
     record.extend([1, 1, 0, 0, 0]);
     record.extend(8000u32.to_be_bytes());
     record.extend(0u64.to_be_bytes());
-    let news = [frame(4, 4, &purge(unix())), frame(5, 2, &record), vec![0, 0, 0, 1]].concat();
-    feed.write_all(&news).unwrap();
-    // A broken frame closes the connection; the next begins after the drain, which so has been heard.
+    let updates = [frame(4, 4, &purge(unix())), frame(5, 2, &record), vec![0, 0, 0, 1]].concat();
+    feed.write_all(&updates).unwrap();
+    // A broken frame closes the connection. The next one starts after the drain, so the front has read it.
     let (last, _feed) = node.feeds.recv_timeout(PATIENCE).unwrap();
     assert_eq!(last, 5);
     let mut c = node.connect();
@@ -104,18 +108,19 @@
         asked.hit(b"x");
         assert_eq!(c.answer()[1], "ok");
     }
-    assert!(served.try_recv().is_err(), "something new for a cache that drains");
+    assert!(served.try_recv().is_err(), "a draining cache gets a new request");
 }
 
-/// A planned restart: whoever comes while it closes is served, what was taken is finished, and it exits with 0.
+/// A planned restart: new clients are served while the front closes, open requests are finished, and it exits
+/// with 0.
 #[test]
-fn sigterm_finishes_what_was_taken() {
+fn sigterm_finishes_open_requests_and_exits_with_0() {
     let (mut node, served) = one_cache("sigterm");
     let (mut before, mut after) = (node.connect(), node.connect());
     before.ask("1", 0xa1, "");
     let mut held = next(&served);
     node.signal("-TERM");
-    eventually("the closing", || {
+    eventually("the front is closing", || {
         after.send(&["HEALTH", "1", ""]);
         after.answer()[1] == "no"
     });
@@ -129,29 +134,30 @@
     assert!(node.logged("at exit: counters").contains("requests=2 served=2"));
 }
 
-/// Guards the place of usual clients: what never says anything whole has 3 s, and gives way as soon as somebody
-/// comes who would; what cannot be read is told so as far as its tag could be read.
+/// Guards the slots of regular clients: a client that never sends a complete command is closed after 3 s, or
+/// as soon as a new connection needs its slot. An invalid command gets an error answer if its tag can be
+/// read.
 #[test]
-fn bad_clients_are_ended_and_do_not_keep_others_out() {
+fn misbehaving_clients_are_closed_and_do_not_block_others() {
     let (cache, served) = cache_node();
     let members = vec![member(EDGE, "standard", cache), member(ORIGIN, "origin", cache)];
     let node = Node::start("rude", members, |c| c["limits"]["sockets"] = json!(64));
-    let begun = std::time::Instant::now();
+    let started = std::time::Instant::now();
     let mut large = node.connect();
     large.stream.write_all(b"*5\r\n$3\r\nREQ\r\n$1\r\n1\r\n$5\r\nmedia\r\n$60000000\r\n").unwrap();
     assert_eq!(large.answer()[..2], ["1", "fault"]);
     assert!(large.closed());
-    // Two under one number: the open one is failed, since a second answer could not be told from it.
+    // Two requests with one tag: the open one fails, since the client could not tell their answers apart.
     let mut twice = node.connect();
     twice.ask("1", 0xa1, "");
     next(&served);
     twice.ask("1", 0xa2, "");
     assert_eq!(twice.answer()[..2], ["1", "fault"]);
     assert!(twice.closed());
-    let mut half = node.connect();
-    half.stream.write_all(b"*5\r\n$3\r\nREQ").unwrap();
+    let mut partial = node.connect();
+    partial.stream.write_all(b"*5\r\n$3\r\nREQ").unwrap();
     let mut silent: Vec<Client> = (0..60).map(|_| node.connect()).collect();
-    // A request that waits is not given up for whoever comes.
+    // A client with an open request is not evicted for new connections.
     let mut c = node.connect();
     c.ask("1", 0xb1, "");
     let mut asked = loop {
@@ -163,14 +169,14 @@
     silent.extend((0..60).map(|_| node.connect()));
     asked.hit(b"x");
     assert_eq!(c.answer()[1], "ok");
-    assert!(half.closed() && silent.iter_mut().all(Client::closed));
-    assert!(begun.elapsed() < std::time::Duration::from_secs(3), "{:?}", begun.elapsed());
+    assert!(partial.closed() && silent.iter_mut().all(Client::closed));
+    assert!(started.elapsed() < std::time::Duration::from_secs(3), "{:?}", started.elapsed());
 }
 
-/// A reload: SIGHUP must not end the front, and the coordinator that the file then names is followed from the
-/// last number had. A file that cannot be used changes nothing, and its key is named.
+/// SIGHUP must not end the front. The coordinator that the file names is followed from the last number, and
+/// an invalid file changes nothing and is reported with its key.
 #[test]
-fn sighup_follows_the_coordinator_that_the_file_names() {
+fn sighup_switches_to_the_coordinator_in_the_file() {
     let (node, served) = one_cache("sighup");
     let (last, mut old) = node.feeds.recv_timeout(PATIENCE).unwrap();
     assert_eq!(last, 3);
@@ -186,7 +192,7 @@
     config["coordinator"] = json!("nowhere");
     rewrite(&config);
     assert!(node.logged("the old settings stay").contains("'coordinator' is not an address and a port"));
-    // What was heard by now shows in the counters.
+    // The updates read so far show in the counters.
     eventually("the first purge", || {
         node.signal("-USR1");
         node.logged("counters").contains("purges=1")
@@ -198,8 +204,8 @@
     rewrite(&config);
     assert!(node.logged("next start").contains("'limits.sockets'"));
     let (last, mut feed) = feeds.recv_timeout(PATIENCE).unwrap();
-    assert_eq!(last, 4, "from the last number had");
-    assert!(at_end(&mut old).unwrap_or(true), "the old one is left");
+    assert_eq!(last, 4, "the feed continues after the last number");
+    assert!(at_end(&mut old).unwrap_or(true), "the connection to the old coordinator is closed");
     feed.write_all(&[purge(4), purge(5)].concat()).unwrap();
     eventually("the second purge, once", || {
         node.signal("-USR1");
@@ -226,12 +232,13 @@
     );
 }
 
-/// A machine that has vanished takes connections and says nothing: the request moves on in time.
+/// Guards against waiting on a cache that accepts connections and never answers: its requests are retried in
+/// time.
 #[test]
-fn a_silent_cache_does_not_hold_its_requests() {
-    let (node, [(_, silent), (_, speaks)]) = two_caches("silent");
+fn requests_at_a_silent_cache_are_retried_or_refused() {
+    let (node, [(_, silent), (_, answering)]) = two_caches("silent");
     let mut c = node.connect();
-    // Objects spread by hash: those of the silent cache move on to the other once it is seen that this answers.
+    // Objects are spread by hash: those of the silent cache are retried at the other once that one answers.
     let mut tags = Vec::new();
     for i in 0..12u64 {
         let fields = format!("call={i:016x},ttl=5000,row={:016x},slice=0,set=1,heap=10", i * 7919);
@@ -242,7 +249,7 @@
     let running = stop.clone();
     let worker = thread::spawn(move || {
         while !running.load(std::sync::atomic::Ordering::Relaxed) {
-            if let Ok(mut s) = speaks.recv_timeout(std::time::Duration::from_millis(20))
+            if let Ok(mut s) = answering.recv_timeout(std::time::Duration::from_millis(20))
                 && s.verb == "serve"
             {
                 s.hit(b"x");
@@ -252,43 +259,46 @@
     let answers: Vec<Vec<String>> = tags.iter().map(|_| c.answer()).collect();
     stop.store(true, std::sync::atomic::Ordering::Relaxed);
     worker.join().unwrap();
-    // Served by the other, or refused where the module holds that it would come too late; none hangs on.
+    // Served by the other cache, or refused if the director estimates a late answer. No request stays open.
     assert!(answers.iter().all(|a| a[1] == "ok" || a[1] == "full"), "{answers:?}");
-    let heard: Vec<String> = silent.try_iter().map(|s| s.verb).collect();
-    let count = |verb: &str| heard.iter().filter(|v| *v == verb).count();
-    assert!(count("serve") > 0 && count("serve") == count("cancel"), "withdrawn on the wire: {heard:?}");
+    let commands: Vec<String> = silent.try_iter().map(|s| s.verb).collect();
+    let count = |verb: &str| commands.iter().filter(|v| *v == verb).count();
+    assert!(
+        count("serve") > 0 && count("serve") == count("cancel"),
+        "each request at the silent cache is cancelled: {commands:?}"
+    );
 }
 
-/// Guards what else is out on a connection, and the request itself, against an answer that stops short, that
-/// cannot be read, or that brings more than belongs to it.
+/// Guards a request, and others on its connection, against answers that are cut short, malformed or followed
+/// by extra ones.
 #[test]
-fn spoilt_answers_are_asked_for_again_and_extra_ones_passed_over() {
+fn malformed_answers_are_requested_again_and_extra_ones_ignored() {
     let (node, served) = one_cache("spoilt");
     let mut c = node.connect();
     let made = (unix() * 1000.0) as u64;
     let good =
         |id: &str, body: &str| format!("{id} HIT n=TCP_HIT,etag=e,made={made} {}\r\n{body}\r\n", body.len());
-    let spoilt = [
+    let malformed = [
         "ID HIT n=TCP_HIT,etag=e,made=1 9\r\nab",
         "ID HIT n=TCP_HIT,etag=e,made=1 3000000000\r\nab",
         "ID HIT n=TCP_HIT,etag=e 2\r\nab\r\n",
         "ID VALID n=TCP_HIT,etag=e,made=1\r\n",
     ];
-    for (i, spoilt) in spoilt.into_iter().enumerate() {
-        let begun = std::time::Instant::now();
+    for (i, text) in malformed.into_iter().enumerate() {
+        let started = std::time::Instant::now();
         c.ask(&(i + 1).to_string(), i as u64, "");
         let mut first = next(&served);
-        first.raw(&spoilt.replace("ID", &first.id));
-        let mut again = next(&served);
-        assert_eq!((&*again.verb, &again.id), ("serve", &first.id));
-        assert!(begun.elapsed() < std::time::Duration::from_secs(2), "not waited for: {spoilt}");
-        // More than belongs to it: an unknown id before, a second copy behind.
-        let all = [good("00000000000000ff", "no"), good(&again.id, "yes"), good(&again.id, "no")].concat();
-        again.raw(&all);
+        first.raw(&text.replace("ID", &first.id));
+        let mut retry = next(&served);
+        assert_eq!((&*retry.verb, &retry.id), ("serve", &first.id));
+        assert!(started.elapsed() < std::time::Duration::from_secs(2), "the retry is not immediate: {text}");
+        // Extra answers: one with an unknown id before, and a second one for the same id after.
+        let all = [good("00000000000000ff", "no"), good(&retry.id, "yes"), good(&retry.id, "no")].concat();
+        retry.raw(&all);
         assert_eq!(c.answer()[3], "yes");
     }
     assert!(served.try_recv().is_err());
-    // Under the name of an open request nothing else is taken.
+    // A different request under the call id of an open one is rejected.
     c.ask("8", 0xa8, "");
     let mut open = next(&served);
     c.ask("9", 0xa8, ",seen=e");
@@ -298,7 +308,7 @@
 }
 
 #[test]
-fn a_bad_configuration_is_told_by_its_key() {
+fn an_invalid_configuration_is_reported_with_its_key() {
     let refused = |name: &str, change: &dyn Fn(&mut Value), key: &str| {
         let started = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
             Node::start(name, Vec::new(), change);
@@ -307,7 +317,7 @@
         assert!(message.contains(key), "{message}");
     };
     refused("bad1", &|c| c["limits"]["sockets"] = json!("many"), "'limits.sockets' is not a number above 0");
-    // With the file, and a status that says so.
+    // The message names the file as well.
     refused(
         "bad6",
         &|c| c["limits"]["sockets"] = json!(0),
@@ -326,6 +336,6 @@
     );
     let price = |c: &mut Value| c["settings"]["prices"] = json!({"handshake": "high"});
     refused("bad5", &price, "'settings.prices.handshake' is not a number of 0 or more");
-    // A price of nothing is one, as most installations have it.
+    // A price of 0 is valid, and most installations use it.
     Node::start("free", Vec::new(), |c| c["settings"]["prices"] = json!({"handshake": 0.0}));
 }
