--- a/tests/signed.rs
+++ b/tests/signed.rs
@@ -1,4 +1,4 @@
-//! The second front as a process, against stand-ins: signed links from arrival to answer.
+//! The signed front, which runs as a process against stand-ins: signed links from arrival to answer.
 
 mod stand_ins;
 use jsonwebtoken::{Algorithm, EncodingKey};
@@ -26,8 +26,8 @@
     Signer::new("d1", DOCUMENTS, b"the documents team's secret, 32b")
 }
 
-/// A signer with an elliptic key, made for these tests only.
-fn curved() -> Signer {
+/// A signer with an elliptic curve key, which was made for these tests only.
+fn elliptic_signer() -> Signer {
     let der = from_base64(
         "MIGHAgEAMBMGByqGSM49AgEGCCqGSM49AwEHBG0wawIBAQQgE18X+uUUNzlstrovE/ON96de0jQCrckLagkjZtvYHhyhRANCAARhfIGLFBsFdbHRdIVxZXrUPa5TTD+SEkjtiSM0iCZY5Et2mqOZe9gv53LHsU5GoTZlosqmXC1Bjfbo0PBAQ8dE",
     );
@@ -42,8 +42,8 @@
     served.recv_timeout(PATIENCE).expect("a request at the cache node")
 }
 
-/// Sends a request, lets the cache node serve it, and returns the status, the head and the asset asked for.
-fn pass(front: &Front, served: &Receiver<Served>, text: &str) -> (u16, String, String) {
+/// Sends a request, has the cache node serve it, and returns the status, the head and the requested asset.
+fn get_through(front: &Front, served: &Receiver<Served>, text: &str) -> (u16, String, String) {
     let mut stream = front.send(text);
     let mut one = next(served);
     assert_eq!(one.verb, "serve");
@@ -54,8 +54,8 @@
 }
 
 #[test]
-fn every_link_that_is_not_good_is_refused_before_a_cache_hears_of_it() {
-    let (t, d, ec) = (talks(), documents(), curved());
+fn invalid_links_are_refused_before_a_cache_gets_a_request() {
+    let (t, d, ec) = (talks(), documents(), elliptic_signer());
     let (front, served) = stage("links", &[&t, &d, &ec], same);
     let path = "/talks/7.mp4";
     let with = |s: &Signer, change: &dyn Fn(&mut Value)| {
@@ -72,12 +72,13 @@
     let critical = base64url(br#"{"alg":"HS256","kid":"t1","crit":["b64"],"b64":false}"#);
     let forged = Signer::new("t1", TALKS, b"somebody else's secret, 32 bytes");
     let unknown = Signer::new("t9", TALKS, b"the talks team's secret, 32 byte");
-    // The public half of the elliptic key as an HS256 secret: the key says ES256, whatever the header says.
+    // The public half of the elliptic curve key as an HS256 secret: the key is for ES256, whatever the header
+    // says.
     let point = ec.jwk["x"].as_str().unwrap().as_bytes()[..32].try_into().unwrap();
     let confused = Signer::new("t-ec", TALKS, point);
     let other =
         format!("hash:sha-256;{}", base64url(&Sha256::digest(b"https://media.example.org/talks/8.mp4")));
-    // A file name part that is `.mp4` in good lies behind the token's first dot; take the token's own parts.
+    // The link has a dot in `.mp4` too, so the token is split on its own.
     let token: Vec<&str> = good.split_once('=').unwrap().1.split('.').collect();
     assert_eq!((token.len(), parts.len()), (3, 4));
     let put = |h: &str, c: &str, s: &str| format!("{path}?URISigningPackage={h}.{c}.{s}");
@@ -85,7 +86,7 @@
         ("unsigned", put(&unsigned, token[1], "")),
         ("altered claims", put(token[0], &altered, token[2])),
         ("altered signature", put(token[0], token[1], &base64url(&[7; 32]))),
-        ("cut", put(token[0], token[1], &token[2][..20])),
+        ("cut short", put(token[0], token[1], &token[2][..20])),
         ("critical header", put(&critical, token[1], token[2])),
         ("no JWT", format!("{path}?URISigningPackage=7")),
         ("forged", forged.link(path)),
@@ -96,7 +97,7 @@
         ("another issuer's name", set("iss", json!(DOCUMENTS))),
         ("expired", set("exp", json!(unix() - 1.0))),
         ("expired, in words", set("exp", json!("tomorrow"))),
-        ("early", set("nbf", json!(unix() + 30.0))),
+        ("not yet valid", set("nbf", json!(unix() + 30.0))),
         ("wrong path", t.link("/talks/8.mp4").replace("8.mp4", "7.mp4")),
         ("wrong hash", set("cdniuc", json!(other))),
         ("part of the path", set("cdniuc", json!("regex:/talks"))),
@@ -118,12 +119,12 @@
     let (code, head, _) = front.get(path);
     assert!(code == 401 && head.contains("WWW-Authenticate: URISigningPackage"), "{head}");
     assert_eq!(front.get("/elsewhere?URISigningPackage=x").0, 403, "no contract");
-    assert!(served.try_recv().is_err(), "a cache node heard of a refused link");
-    // What differs by nothing but being good is served, so that the refusals above mean something.
+    assert!(served.try_recv().is_err(), "a cache node got a request for a refused link");
+    // The corresponding valid links are served, so the refusals above have the tested cause.
     let hash =
         format!("hash:sha-256;{}", base64url(&Sha256::digest(b"https://media.example.org/talks/7.mp4")));
     for target in [good.clone(), ec.link(path), set("cdniuc", json!(hash)), set("cdnistt", json!(0))] {
-        assert_eq!(pass(&front, &served, &get(&target)).0, 200, "{target}");
+        assert_eq!(get_through(&front, &served, &get(&target)).0, 200, "{target}");
     }
     while let Ok(line) = front.log.try_recv() {
         assert!(!line.contains("eyJ"), "a token in the log: {line}");
@@ -131,7 +132,7 @@
 }
 
 #[test]
-fn one_object_is_one_copy_whatever_the_token() {
+fn requests_with_different_tokens_share_one_copy_of_an_object() {
     let (t, d) = (talks(), documents());
     let (front, served) = stage("copy", &[&t, &d], same);
     let (path, cookie) = ("/talks/7.mp4", t.sign(&t.claims("/talks/7.mp4")));
@@ -139,7 +140,7 @@
     later["exp"] = json!(unix() + 90.0);
     let by_cookie =
         format!("GET {path} HTTP/1.1\r\nHost: h\r\nCookie: a=b; URISigningPackage={cookie}\r\n\r\n");
-    let asks = [
+    let requests = [
         get(&t.link(path)),
         get(&format!("{path}?URISigningPackage={}", t.sign(&later))),
         get(&format!("{path};URISigningPackage={cookie}")),
@@ -147,17 +148,18 @@
         get(&format!("/talks/%37.mp4?URISigningPackage={cookie}")),
         by_cookie,
     ];
-    let assets: Vec<String> = asks.iter().map(|a| pass(&front, &served, a).2).collect();
+    let assets: Vec<String> = requests.iter().map(|r| get_through(&front, &served, r).2).collect();
     assert!(assets.iter().all(|a| *a == assets[0]), "{assets:?}");
-    assert_ne!(pass(&front, &served, &get(&t.link("/talks/8.mp4"))).2, assets[0]);
-    // Kept or not, the holder is checked each time.
+    assert_ne!(get_through(&front, &served, &get(&t.link("/talks/8.mp4"))).2, assets[0]);
+    // The token is checked on each request, also for a cached object.
     assert_eq!(front.get(path).0, 401);
 }
 
 #[test]
-fn a_transfer_outlives_its_token_and_its_key_and_the_next_request_does_not() {
+fn a_transfer_completes_after_its_token_and_key_expire_and_the_next_request_is_refused() {
     let (old, new) = (talks(), Signer::new("t1", TALKS, b"the talks team's 2nd secret, 32b"));
-    // The first transfer stays out while files are written and read: a slow disk must not end it.
+    // The first transfer stays in flight while files are written and read; a long deadline keeps a slow disk
+    // from ending it.
     let (front, served) = stage("rotation", &[&old], |t| {
         t.replace("overlap_s = 300", "overlap_s = 1000").replacen("deadline = 5.0", "deadline = 60.0", 1)
     });
@@ -168,64 +170,66 @@
     let short = format!("{path}?URISigningPackage={}", old.sign(&claims));
     let mut stream = front.send(&get(&short));
     let mut held = next(&served);
-    // One that says nothing may be withdrawn and asked for again: the same answer is held for that.
+    // The front may cancel the unanswered attempt and send it again: such retries are collected and get the
+    // same answer.
     let video = vec![b'v'; 240_000];
-    let (id, again) = (held.id.clone(), RefCell::new(Vec::new()));
-    let pass = |text: &str| {
+    let (id, retries) = (held.id.clone(), RefCell::new(Vec::new()));
+    let get_through = |text: &str| {
         let mut stream = front.send(text);
         let mut one = next(&served);
         while one.verb != "serve" || one.id == id {
-            again.borrow_mut().push(one);
+            retries.borrow_mut().push(one);
             one = next(&served);
         }
         one.hit(b"the object");
         status(read_message(&mut stream)).0
     };
-    eventually("the expiry", || unix() > expires);
-    assert_eq!(front.get(&short).0, 403, "expired for the next request");
-    // The key is replaced under its id, while the transfer is out.
+    eventually("the token has expired", || unix() > expires);
+    assert_eq!(front.get(&short).0, 403, "an expired token is refused");
+    // The key is replaced under the same id while the transfer is in flight.
     write_keys(&front.keys, &[&new], &[]);
     let log = || front.log.recv_timeout(PATIENCE).unwrap();
     while !log().contains("keys: 1 in force") {}
-    assert_eq!(pass(&get(&new.link(path))), 200, "the new key");
-    assert_eq!(pass(&get(&old.link(path))), 200, "the replaced key, in the overlap");
-    // A file that cannot be used keeps the set, and says so without the key.
+    assert_eq!(get_through(&get(&new.link(path))), 200, "the new key is accepted");
+    assert_eq!(get_through(&get(&old.link(path))), 200, "the replaced key is accepted in the overlap");
+    // An invalid file keeps the old key set, and the log line does not contain the key.
     let next = front.keys.with_extension("next");
     std::fs::write(&next, r#"{"keys": [{"kid": "t1", "k": "c2VjcmV0"}]}"#).unwrap();
     std::fs::rename(next, &front.keys).unwrap();
-    let told = loop {
+    let refusal = loop {
         let line = log();
         if line.contains("the old set stays") {
             break line;
         }
     };
-    assert!(told.contains("'keys.0.kty'") && !told.contains("c2VjcmV0"), "{told}");
-    assert_eq!(pass(&get(&new.link(path))), 200);
+    assert!(refusal.contains("'keys.0.kty'") && !refusal.contains("c2VjcmV0"), "{refusal}");
+    assert_eq!(get_through(&get(&new.link(path))), 200);
     // Revoked: neither the new key nor the replaced one verifies.
     write_keys(&front.keys, &[&new], &["t1"]);
     while !log().contains("keys: 0 in force") {}
     assert_eq!((front.get(&new.link(path)).0, front.get(&old.link(path)).0), (403, 403));
-    // The first transfer was authorised once, and ends whole.
+    // The first transfer was authorised at its start and completes.
     held.hit(&video);
-    let again = again.into_inner();
+    let retries = retries.into_inner();
     let whole = video.clone();
     std::thread::spawn(move || {
-        let late = again.into_iter().chain(served).filter(|one| one.verb == "serve");
-        late.for_each(|mut one| one.hit(&whole));
+        let remaining = retries.into_iter().chain(served).filter(|one| one.verb == "serve");
+        remaining.for_each(|mut one| one.hit(&whole));
     });
     let (code, _, body) = status(read_message(&mut stream));
     assert_eq!((code, body.len(), body == video), (200, video.len(), true));
 }
 
 #[test]
-fn deadlines_refusals_and_failures_have_their_answers() {
+fn validation_ranges_deadlines_and_refusals_have_their_status_codes() {
     let (t, d) = (talks(), documents());
     let (front, served) = stage("answers", &[&t, &d], |text| {
         let text = text.replace("deadline = 5.0", "deadline = 0.5");
         text.replace("semantics = \"deduplicated\"", "semantics = \"at_most_once\"")
     });
     let link = t.link("/talks/7.mp4");
-    // The client's copy holds. From here on the object is believed held, and asked for whatever the origin does.
+    // The client's copy is current. From here on the object is believed held, so it is requested even if the
+    // origin fails.
     let valid = get(&link).replace("Host: h", "Host: h\r\nIf-None-Match: \"e1\"");
     let mut stream = front.send(&valid);
     let mut asked = next(&served);
@@ -233,29 +237,29 @@
     asked.answer("VALID", &format!("n=TCP_HIT,etag=e1,made={}", (unix() * 1000.0) as u64), b"");
     let (code, head, _) = status(read_message(&mut stream));
     assert!(code == 304 && head.contains("ETag: \"e1\""), "{head}");
-    // A part of a video; and what is asked for with HEAD has a head only.
-    let part = |more: &str, method: &str| {
+    // Byte ranges of a video, and a HEAD request, whose answer has no body.
+    let range = |more: &str, method: &str| {
         let text = get(&link).replacen("GET", method, 1).replace("Host: h", &format!("Host: h\r\n{more}"));
         let stream = front.send(&text);
         next(&served).hit(b"0123456789");
         stream
     };
-    for (more, code, bytes, place) in [
+    for (more, code, bytes, field) in [
         ("Range: bytes=2-4", 206, "234", "Content-Range: bytes 2-4/10"),
         ("Range: bytes=10-", 416, "", "Content-Range: bytes */10"),
         ("Range: bytes=2-4\r\nIf-Range: \"e0\"", 200, "0123456789", "Accept-Ranges: bytes"),
     ] {
-        let (got, head, body) = status(read_message(&mut part(more, "GET")));
-        assert!(got == code && body == bytes.as_bytes() && head.contains(place), "{head}");
+        let (got, head, body) = status(read_message(&mut range(more, "GET")));
+        assert!(got == code && body == bytes.as_bytes() && head.contains(field), "{head}");
     }
     let mut head = String::new();
-    part("Connection: close", "HEAD").read_to_string(&mut head).unwrap();
+    range("Connection: close", "HEAD").read_to_string(&mut head).unwrap();
     assert!(
         head.starts_with("HTTP/1.1 200")
             && head.contains("Content-Length: 10\r\n")
             && head.ends_with("\r\n\r\n")
     );
-    // Silence: answered at the deadline, and the cache node is told that nobody waits.
+    // No answer of the cache node: the client gets 504 at the deadline, and the cache node gets a cancel.
     let sent = unix();
     let mut stream = front.send(&get(&link));
     let asked = next(&served);
@@ -265,34 +269,35 @@
     assert!(code == 504 && unix() - sent < 3.0, "{head}");
     let cancel = next(&served);
     assert_eq!((&*cancel.verb, &cancel.id), ("cancel", &asked.id));
-    // Refused below: refused at once, with the time to come back.
+    // A refusal of the cache node: the client gets 503 at once with a Retry-After.
     let mut stream = front.send(&get(&link));
     next(&served).answer("SHED", "-", b"");
     let (code, head, _) = status(read_message(&mut stream));
     assert!(code == 503 && head.contains("Retry-After: 1"), "{head}");
-    // A client that leaves takes its request with it.
+    // A client that disconnects has its request cancelled.
     let stream = front.send(&get(&link));
     let asked = next(&served);
     drop(stream);
     let cancel = next(&served);
     assert_eq!((&*cancel.verb, &cancel.id), ("cancel", &asked.id));
-    // So does one that has sent more ahead than is read before its answer.
+    // The same for a client that has pipelined more than the front reads before the answer.
     let mut stream = front.send(&get(&link));
     let asked = next(&served);
     std::io::Write::write_all(&mut stream, get(&link).repeat(100).as_bytes()).unwrap();
     drop(stream);
     let cancel = next(&served);
     assert_eq!((&*cancel.verb, &cancel.id), ("cancel", &asked.id));
-    // Both since their clients were gone, not since their time was up.
+    // Both were cancelled because their clients disconnected, not because of the deadline.
     let usr1 = ["-USR1", &front.child.id().to_string()].map(String::from);
     assert!(std::process::Command::new("kill").args(usr1).status().unwrap().success());
     let counters = front.log.iter().find(|l| l.contains("counters")).unwrap();
     assert!(counters.contains(" aborted=2 "), "{counters}");
 }
 
-/// A cache node that breaks off may have run an order that must run once: it fails and is not sent again.
+/// Guards against running a write twice: a cache node that closes the connection may have run it, so it fails
+/// and is not sent again.
 #[test]
-fn a_write_that_may_have_run_fails_and_is_not_repeated() {
+fn a_write_that_may_have_run_fails_and_is_not_retried() {
     let (d, path) = (documents(), "/documents/holds/9");
     let (origin, served) = cache_node();
     let (server, asked) = discovery(vec![("standard", origin), ("origin", origin)]);
@@ -302,37 +307,37 @@
     (0..6).for_each(|_| drop(asked.recv_timeout(PATIENCE).unwrap()));
     let post = format!("POST {} HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nhold", d.link(path));
     let mut stream = front.send(&post);
-    let order = next(&served);
-    assert_eq!((&*order.body, order.field("keep")), (&b"hold"[..], None));
-    order.hang_up();
+    let write = next(&served);
+    assert_eq!((&*write.body, write.field("keep")), (&b"hold"[..], None));
+    write.hang_up();
     assert_eq!(status(read_message(&mut stream)).0, 502);
-    assert!(served.try_recv().is_err(), "sent again");
-    // The class wants a POST, and links are for reading as little as for another method.
+    assert!(served.try_recv().is_err(), "the write is sent again");
+    // The class requires POST, so its links are refused for GET.
     assert_eq!(front.get(&d.link(path)).0, 405);
 }
 
 #[test]
-fn budgets_are_kept_apart_and_tell_when_to_come_back() {
+fn team_budgets_are_separate_and_refusals_have_a_retry_after() {
     let (t, d) = (talks(), documents());
     let (front, served) = stage("budgets", &[&t, &d], |text| {
         text.replace("requests_per_s = 200\nin_flight = 64", "requests_per_s = 0.01\nin_flight = 64")
             .replace("requests_per_s = 50\nin_flight = 16", "requests_per_s = 50\nin_flight = 1")
     });
-    assert_eq!(pass(&front, &served, &get(&t.link("/talks/7.mp4"))).0, 200);
+    assert_eq!(get_through(&front, &served, &get(&t.link("/talks/7.mp4"))).0, 200);
     let (code, head, _) = front.get(&t.link("/talks/7.mp4"));
     let wait = head.lines().find_map(|l| l.strip_prefix("Retry-After: ")).and_then(|w| w.parse::<u32>().ok());
     assert!(code == 429 && wait.is_some_and(|w| w > 60 && w <= 100), "{head}");
-    // The other team has its own, here of one request at a time.
+    // The other team has a budget of its own, here one request at a time.
     let mut first = front.send(&get(&d.link("/documents/1")));
     let mut held = next(&served);
     assert_eq!(front.get(&d.link("/documents/2")).0, 429);
     held.hit(b"done");
     assert_eq!(status(read_message(&mut first)).0, 200);
-    assert_eq!(pass(&front, &served, &get(&d.link("/documents/2"))).0, 200);
+    assert_eq!(get_through(&front, &served, &get(&d.link("/documents/2"))).0, 200);
 }
 
 #[test]
-fn malformed_and_large_messages_are_answered_and_cut_off() {
+fn malformed_and_oversized_messages_get_an_error_and_a_close() {
     let t = talks();
     let (front, served) = stage("messages", &[&t], same);
     let link = t.link("/talks/7.mp4");
@@ -359,7 +364,7 @@
     }
 }
 
-/// Guards against a front that is up but can send to nobody: it refuses, and does not crash.
+/// Guards against a crash of a front that runs without any known node: it refuses requests.
 #[test]
 fn without_discovery_requests_are_refused() {
     let t = talks();
@@ -369,10 +374,10 @@
     assert!(code == 503 && head.contains("Retry-After"), "{head}");
 }
 
-/// The front is told to end while a client has not read its answer, behind which the end lies: what it asks before it can
-/// see that is answered too.
+/// Guards against losing a request at SIGTERM: a client that has not read its answer yet cannot see the close
+/// after it, so a request that it sends meanwhile is answered too.
 #[test]
-fn the_end_closes_no_connection_over_an_unread_answer() {
+fn sigterm_closes_no_connection_with_an_unread_answer() {
     let t = talks();
     let (front, served) = stage("unread-end", &[&t], same);
     let link = get(&t.link("/talks/7.mp4"));
@@ -382,10 +387,10 @@
     slow.write_all(link.as_bytes()).unwrap();
     let large = vec![b'y'; 240_000];
     next(&served).hit(&large);
-    eventually("the answer has come", || front.accounts()["unread.peak"] >= large.len() as f64);
+    eventually("the front has the answer", || front.accounts()["unread.peak"] >= large.len() as f64);
     eventually("the system has the answer", || front.accounts()["unread.now"] == 0.0);
     front.signal("-TERM");
-    assert!(at_end(&mut idle).unwrap(), "one that is idle is closed");
+    assert!(at_end(&mut idle).unwrap(), "an idle connection is closed");
     slow.write_all(link.as_bytes()).unwrap();
     std::thread::spawn(move || next(&served).hit(b"second"));
     assert!(status(read_message(&mut slow)).2 == large);
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The adapter as a process: byte examples of the wire, and what it does with malformed input.
+//! The adapter, which runs as a process: byte examples of the wire protocol, and malformed input.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -15,10 +15,11 @@
  "root-fall-multiple": 0.0, "says": "all", "sideways": "any", "source-kind": 2, "straight": false,
  "upper-fall-multiple": 2.0, "usable-after": [0.0], "zone-hub": [0, 1, 0]}}"#;
 
-/// Object of the request example, and the two nodes of the list example.
-const REQUEST: &str =
+/// A request record.
+const REQUEST_RECORD: &str =
     "02 25000000 c4913a5d 0000 0000 640ad2557c3bf091 cba145b6f34d2140 00002044 00003041 00004040 01";
-const EMPTY: &str = "14000000 508d976e12d32040 00000000 01000000";
+/// A frame without records.
+const EMPTY_FRAME: &str = "14000000 508d976e12d32040 00000000 01000000";
 
 fn hex(text: &str) -> Vec<u8> {
     let digits: Vec<u32> = text.chars().filter_map(|c| c.to_digit(16)).collect();
@@ -42,28 +43,32 @@
     out
 }
 
-fn on(instance: u16) -> Vec<u8> {
+/// Selects the instance that the next records are for.
+fn select_instance(instance: u16) -> Vec<u8> {
     record(12, &instance.to_le_bytes())
 }
 
-fn power_on(settings: &str) -> Vec<u8> {
+/// Starts the selected instance with these settings.
+fn start_instance(settings: &str) -> Vec<u8> {
     let mut fields = 7u64.to_le_bytes().to_vec();
     fields.extend((settings.len() as u32).to_le_bytes());
     fields.extend(settings.as_bytes());
     record(0, &fields)
 }
 
-/// An edge cache of zone 2 and the origin.
-fn catalog() -> Vec<u8> {
+/// Node list 0, with an edge cache of zone 2 and the origin.
+fn node_list() -> Vec<u8> {
     let edge = "01 0000 0a124a07 2b23 0000803f 0000 0000000000000000 0200";
     let origin = "01 0000 0a9011f2 5423 0000803f 0200 0000000000000000 0000";
     record(11, &hex(&format!("0000 02000000 {edge} {origin}")))
 }
 
+/// Gives an instance node list 0 as its cached view.
 fn view() -> Vec<u8> {
     hex("01 07000000 02 29000000 0000")
 }
 
+/// Runs the adapter on this input.
 fn run(input: &[u8]) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_onyxyoke-benchlink"))
         .stdin(Stdio::piped())
@@ -78,7 +83,8 @@
     child.wait_with_output().expect("the adapter ends")
 }
 
-fn refused(input: &[u8], word: &str) {
+/// Asserts that the adapter exits with status 1 and an error message that contains `word`.
+fn assert_refused(input: &[u8], word: &str) {
     let out = run(input);
     let message = String::from_utf8_lossy(&out.stderr).into_owned();
     assert_eq!(out.status.code(), Some(1), "{message}");
@@ -86,17 +92,17 @@
 }
 
 #[test]
-fn an_empty_batch_gets_an_empty_reply_and_the_end_of_input_is_a_clean_end() {
-    let out = run(&hex(EMPTY));
+fn an_empty_frame_gets_an_empty_reply_and_end_of_input_exits_with_0() {
+    let out = run(&hex(EMPTY_FRAME));
     assert!(out.status.success());
     assert_eq!(out.stdout, hex("0c000000 00000000 01000000"));
     assert!(run(&[]).status.success());
 }
 
 #[test]
-fn a_request_is_sent_with_the_fields_in_their_places() {
-    let start = frame(1, 8.4, &[on(3), power_on(SETTINGS), catalog(), view()]);
-    let ask = frame(2, 8.41, &[on(3), hex(REQUEST)]);
+fn a_request_leads_to_a_fetch_record_with_the_documented_layout() {
+    let start = frame(1, 8.4, &[select_instance(3), start_instance(SETTINGS), node_list(), view()]);
+    let ask = frame(2, 8.41, &[select_instance(3), hex(REQUEST_RECORD)]);
     let out = run(&[start, ask].concat());
     assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
     let reply = &out.stdout[12..];
@@ -116,8 +122,18 @@
 }
 
 #[test]
-fn without_a_node_the_answer_is_a_refusal_by_the_instance_asked() {
-    let batch = frame(5, 8.4, &[on(0), power_on(SETTINGS), on(9), power_on(SETTINGS), hex(REQUEST)]);
+fn a_request_without_any_node_is_refused_by_its_instance() {
+    let batch = frame(
+        5,
+        8.4,
+        &[
+            select_instance(0),
+            start_instance(SETTINGS),
+            select_instance(9),
+            start_instance(SETTINGS),
+            hex(REQUEST_RECORD),
+        ],
+    );
     let out = run(&batch);
     let wait = 0.5f64.to_le_bytes();
     let expected =
@@ -127,7 +143,7 @@
 }
 
 #[test]
-fn all_example_events_are_taken_also_with_trailing_bytes() {
+fn all_example_records_are_accepted_also_with_trailing_bytes() {
     let outcome = "04 21000000 c4913a5d 0000 0a124a07 2b23 6400 8b6ce7fba9f1923f 01 02 55c1a8a44e40833f 00";
     let mut long = hex(outcome);
     long[1] += 3;
@@ -135,11 +151,11 @@
     let peer = [&hex("0100 0400 68692037")[..]].concat();
     let probed = hex("6400 8b6ce7fba9f1923f 0a124a07 2b23 01 0000003f");
     let records = [
-        on(3),
-        power_on(SETTINGS),
-        catalog(),
+        select_instance(3),
+        start_instance(SETTINGS),
+        node_list(),
         view(),
-        hex(REQUEST),
+        hex(REQUEST_RECORD),
         hex(outcome),
         long,
         hex("06 08000000 4d00000000000000"),
@@ -154,47 +170,47 @@
 }
 
 #[test]
-fn malformed_frames_end_with_a_plain_message() {
-    let start = || vec![on(3), power_on(SETTINGS), catalog(), view()];
+fn malformed_frames_exit_with_an_error_message() {
+    let start = || vec![select_instance(3), start_instance(SETTINGS), node_list(), view()];
     let with = |extra: Vec<u8>| frame(1, 8.4, &[start(), vec![extra]].concat());
-    refused(&hex("13000000"), "cannot be");
-    refused(&hex("ffffffff"), "cannot be");
-    refused(&hex(EMPTY)[..15], "inside a frame");
-    refused(&hex(EMPTY)[..2], "inside a frame");
-    refused(&frame(1, f64::NAN, &[]), "finite");
-    let mut more = frame(1, 8.4, &[on(3)]);
+    assert_refused(&hex("13000000"), "cannot be");
+    assert_refused(&hex("ffffffff"), "cannot be");
+    assert_refused(&hex(EMPTY_FRAME)[..15], "inside a frame");
+    assert_refused(&hex(EMPTY_FRAME)[..2], "inside a frame");
+    assert_refused(&frame(1, f64::NAN, &[]), "finite");
+    let mut more = frame(1, 8.4, &[select_instance(3)]);
     more[12] = 2;
-    refused(&more, "cut short");
+    assert_refused(&more, "cut short");
     more[12] = 0;
-    refused(&more, "more than its records");
-    refused(&with(record(99, &[])), "code 99");
-    refused(&with(record(4, &[1, 2, 3])), "cut short");
-    refused(&with(hex("01 07000000 05 29000000 0000")), "view mode");
-    refused(&with(hex("01 07000000 01 29000000 0300")), "never given");
-    refused(&with(record(11, &hex("1000 00000000"))), "list number");
-    refused(&with(record(11, &hex("0000 ffffff7f"))), "cut short");
-    let mut bad = hex(REQUEST);
+    assert_refused(&more, "more than its records");
+    assert_refused(&with(record(99, &[])), "code 99");
+    assert_refused(&with(record(4, &[1, 2, 3])), "cut short");
+    assert_refused(&with(hex("01 07000000 05 29000000 0000")), "view mode");
+    assert_refused(&with(hex("01 07000000 01 29000000 0300")), "never given");
+    assert_refused(&with(record(11, &hex("1000 00000000"))), "list number");
+    assert_refused(&with(record(11, &hex("0000 ffffff7f"))), "cut short");
+    let mut bad = hex(REQUEST_RECORD);
     bad[9] = 7;
-    refused(&with(bad), "class 7");
-    let mut bad = catalog();
+    assert_refused(&with(bad), "class 7");
+    let mut bad = node_list();
     bad[34] = 9;
-    refused(&frame(1, 8.4, &[on(3), power_on(SETTINGS), bad, view()]), "zone");
-    refused(&frame(1, 8.4, &[hex(REQUEST)]), "without an instance");
-    refused(&frame(1, 8.4, &[on(4), hex(REQUEST)]), "not running");
+    assert_refused(&frame(1, 8.4, &[select_instance(3), start_instance(SETTINGS), bad, view()]), "zone");
+    assert_refused(&frame(1, 8.4, &[hex(REQUEST_RECORD)]), "without an instance");
+    assert_refused(&frame(1, 8.4, &[select_instance(4), hex(REQUEST_RECORD)]), "not running");
 }
 
 #[test]
-fn wrong_settings_end_with_a_plain_message() {
-    let start = |text: &str| frame(1, 8.4, &[on(0), power_on(text)]);
-    refused(&start("{"), "not JSON");
-    refused(&start("{}"), "missing");
-    refused(&start(&SETTINGS.replace("\"most-tries\"", "\"tries\"")), "most-tries");
-    refused(
+fn invalid_settings_exit_with_an_error_message() {
+    let start = |text: &str| frame(1, 8.4, &[select_instance(0), start_instance(text)]);
+    assert_refused(&start("{"), "not JSON");
+    assert_refused(&start("{}"), "missing");
+    assert_refused(&start(&SETTINGS.replace("\"most-tries\"", "\"tries\"")), "most-tries");
+    assert_refused(
         &start(&SETTINGS.replace("\"idempotent\"", "\"perhaps\"")),
         "'profiles.0.semantics' is not one of idempotent, ",
     );
-    refused(&start(&SETTINGS.replace("\"any\"", "\"some\"")), "sideways");
-    refused(&start(&SETTINGS.replace("\"az\": 2", "\"az\": 3")), "az");
-    refused(&start(&SETTINGS.replace("\"good-for\": [0.0]", "\"good-for\": []")), "as many classes");
-    refused(&start(&SETTINGS.replace("18.0", "1e999")), "JSON");
+    assert_refused(&start(&SETTINGS.replace("\"any\"", "\"some\"")), "sideways");
+    assert_refused(&start(&SETTINGS.replace("\"az\": 2", "\"az\": 3")), "az");
+    assert_refused(&start(&SETTINGS.replace("\"good-for\": [0.0]", "\"good-for\": []")), "as many classes");
+    assert_refused(&start(&SETTINGS.replace("18.0", "1e999")), "JSON");
 }
