--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -20,13 +20,13 @@
 /// slower than the others. Returns the number of requests that went to cache 10.
 fn request_round(fleet: &mut [Stage], first: u64, count: u64, slowdown: f64) -> u64 {
     let mut at_slow_cache = 0;
-    for s in fleet {
+    for stage in fleet {
         for object in first..first + count {
-            s.now += 0.3;
-            let sent = s.fetch(object, 100.0);
+            stage.now += 0.3;
+            let sent = stage.fetch(object, 100.0);
             let took = 0.1 * if sent.node == 10 { slowdown } else { 1.0 };
             at_slow_cache += u64::from(sent.node == 10);
-            s.end(sent, 0, Outcome::Ok, Note::Hit, took);
+            stage.end(sent, 0, Outcome::Ok, Note::Hit, took);
         }
     }
     at_slow_cache
@@ -55,15 +55,15 @@
     let mut fleet = directors(&settings(), &[edge(10), parent(20), far, origin(30)]);
     let mut fills = |first: u64, extra_s: f64| {
         let mut near = 0;
-        for s in &mut fleet {
+        for stage in &mut fleet {
             for object in first..first + 30 {
-                s.now += 0.2;
-                let sent = s.fetch(object, 100.0);
+                stage.now += 0.2;
+                let sent = stage.fetch(object, 100.0);
                 near += u64::from(sent.source == 20);
                 let took = 0.15 + if sent.source == 20 { extra_s } else { 0.02 };
-                s.end(sent, 0, Outcome::Ok, Note::Filled, took);
+                stage.end(sent, 0, Outcome::Ok, Note::Filled, took);
             }
-            s.now += 20.0;
+            stage.now += 20.0;
         }
         near
     };
@@ -81,19 +81,19 @@
     let mut settings = Settings { zone_link_kb_per_s: vec![0.0, 0.0, 2000.0], ..settings() };
     settings.classes[0].aim_stretch = 1.6;
     let mut fleet = directors(&settings, &small_fleet());
-    for s in &mut fleet {
+    for stage in &mut fleet {
         for object in 1..=2 {
-            s.fetch(object, 100.0);
+            stage.fetch(object, 100.0);
         }
         let mut ask = |id, patience| {
             let request = Request {
                 id: RequestId(id),
                 object: ObjectId(u64::from(id)),
-                expires: s.now + patience,
+                expires: stage.now + patience,
                 kb: 4000.0,
                 ..Request::default()
             };
-            s.event(Event::Request(request))
+            stage.event(Event::Request(request))
         };
         assert!(refused(&ask(1000, 3.0)), "the transfer takes four seconds, longer than the deadline");
         assert_eq!(sent(&ask(1001, 30.0)).len(), 1);
@@ -108,13 +108,13 @@
         // The link grows with the number of directors, so that its estimated use is the same.
         let link = 20_000.0 * f64::from(directors);
         let base = Settings { directors, directors_by_zone: vec![0, 0, directors], ..settings() };
-        let mut s =
+        let mut stage =
             Stage::new(Settings { zone_link_kb_per_s: vec![0.0, 0.0, link], ..base }, &small_fleet()[..2]);
-        s.list(ListKind::Delta, &[parent(20), origin(30)]);
-        s.patience = 60.0;
+        stage.list(ListKind::Delta, &[parent(20), origin(30)]);
+        stage.patience = 60.0;
         let mut sizes = (0..).map(|i| 100.0 * 1.1f64.powi(i));
-        (0..12).for_each(|object| drop(s.ask(object, 100.0)));
-        sizes.find(|&kb| refused(&s.ask(1000 + kb as u64, kb).1)).unwrap()
+        (0..12).for_each(|object| drop(stage.ask(object, 100.0)));
+        sizes.find(|&kb| refused(&stage.ask(1000 + kb as u64, kb).1)).unwrap()
     };
     let (few, many) = (smallest_refused_kb(2), smallest_refused_kb(9));
     assert!(many < few, "smallest refused sizes: {many} KB of many, {few} KB of few directors");
@@ -137,36 +137,37 @@
         Settings { weights_are_link_sizes: true, directors_by_zone: vec![0, 0, DIRECTORS], ..settings() };
     let mut sends: Vec<(u64, f64)> = Vec::new();
     let mut refusals = 0;
-    for (me, mut s) in directors(&settings, &all).into_iter().enumerate() {
-        s.now += me as f64 * 0.1 / f64::from(DIRECTORS);
+    for (me, mut stage) in directors(&settings, &all).into_iter().enumerate() {
+        stage.now += me as f64 * 0.1 / f64::from(DIRECTORS);
         let mut replaced = 0;
         for step in 0..160 {
-            while replaced < new_nodes.len() && s.now >= new_nodes[replaced].ready_at + 0.5 {
+            while replaced < new_nodes.len() && stage.now >= new_nodes[replaced].ready_at + 0.5 {
                 let gone = Node { state: NodeState::Draining, ..old[replaced] };
-                s.list(ListKind::Delta, &[gone, new_nodes[replaced]]);
+                stage.list(ListKind::Delta, &[gone, new_nodes[replaced]]);
                 replaced += 1;
             }
-            let (_, actions) = s.ask(me as u64 * 1000 + step, 50.0);
+            let (_, actions) = stage.ask(me as u64 * 1000 + step, 50.0);
             refusals += u32::from(refused(&actions));
-            for x in sent(&actions) {
+            for attempt in sent(&actions) {
                 assert!(
-                    !old[..replaced].iter().any(|n| n.id.0 == x.node),
+                    !old[..replaced].iter().any(|n| n.id.0 == attempt.node),
                     "a draining node gets a new request"
                 );
-                sends.push((x.node, s.now));
-                s.end(x, 0, Outcome::Ok, Note::Filled, 0.0);
+                sends.push((attempt.node, stage.now));
+                stage.end(attempt, 0, Outcome::Ok, Note::Filled, 0.0);
             }
-            s.now += 0.1;
+            stage.now += 0.1;
         }
     }
     for node in &new_nodes {
-        let mut at: Vec<f64> = sends.iter().filter(|x| x.0 == node.id.0).map(|x| x.1).collect();
+        let mut at: Vec<f64> = sends.iter().filter(|sent| sent.0 == node.id.0).map(|sent| sent.1).collect();
         at.sort_by(f64::total_cmp);
         assert!(at.len() > 20, "a new node gets some load to warm up: {}", at.len());
         for &t in at.iter().filter(|&&t| t < node.ready_at + 10.0) {
             // Multiple 2, window 1 s, cold from 0.2 of its link for 10 s.
             let share = 0.2 + 0.8 * (t - node.ready_at) / 10.0;
-            let within = |span: f64| at.iter().filter(|&&x| x > t - span && x <= t).count() as f64 * 0.05;
+            let within =
+                |span: f64| at.iter().filter(|&&time| time > t - span && time <= t).count() as f64 * 0.05;
             assert!(within(1.0) <= 2.0 * share * link, "{} in the second that ends at {t}", within(1.0));
             assert!(within(0.02) <= 0.5 * share * link, "{} in the 20 ms that end at {t}", within(0.02));
         }
@@ -181,14 +182,15 @@
     let replacement = Node { ready_at: 99.0, ..edge(13) };
     let gone = Node { state: NodeState::Withdrawn, ..edge(12) };
     let now = vec![edge(10), edge(11), replacement, parent(20), parent(21), origin(30)];
-    for (me, mut s) in directors(&settings(), &small_fleet()).into_iter().enumerate() {
+    for (me, mut stage) in directors(&settings(), &small_fleet()).into_iter().enumerate() {
         match me % 3 {
-            0 => s.list(ListKind::Delta, &[gone, replacement]),
-            1 => (0..2).for_each(|_| s.list(ListKind::Delta, &[replacement, gone])),
-            _ => s.list(ListKind::Full, &now),
+            0 => stage.list(ListKind::Delta, &[gone, replacement]),
+            1 => (0..2).for_each(|_| stage.list(ListKind::Delta, &[replacement, gone])),
+            _ => stage.list(ListKind::Full, &now),
         }
-        s.now += 30.0;
-        let used: std::collections::BTreeSet<u64> = (1..=60).map(|object| s.hit(object, 10.0).node).collect();
+        stage.now += 30.0;
+        let used: std::collections::BTreeSet<u64> =
+            (1..=60).map(|object| stage.hit(object, 10.0).node).collect();
         assert_eq!(used, [10, 11, 13].into(), "director {me}");
     }
 }
@@ -202,19 +204,19 @@
         [edge(10), edge(11), edge(12)].into_iter().chain(parents).chain([origin(30)]).collect();
     let mut fleet = directors(&settings(), &nodes);
     let mut fills = std::collections::BTreeMap::new();
-    for s in &mut fleet {
+    for stage in &mut fleet {
         for object in 1..=20 {
-            s.hit(object, 50.0);
+            stage.hit(object, 50.0);
         }
-        s.now = 150.0;
+        stage.now = 150.0;
         for group in 0..4 {
-            s.event(Event::Purged { object: None, group: GroupId(group), age: 0.0 });
+            stage.event(Event::Purged { object: None, group: GroupId(group), age: 0.0 });
         }
-        s.now += 1.0;
+        stage.now += 1.0;
         for object in 1..=20 {
-            let sent = s.fetch(object, 50.0);
+            let sent = stage.fetch(object, 50.0);
             assert!(
-                sent.age > 0.0 && sent.age < s.now - 150.0,
+                sent.age > 0.0 && sent.age < stage.now - 150.0,
                 "a copy from before the purge would be accepted: {sent:?}"
             );
             assert!(
@@ -222,7 +224,7 @@
                 "the fill must come from a parent or the origin: {sent:?}"
             );
             *fills.entry(sent.source).or_insert(0) += 1;
-            s.end(sent, 0, Outcome::Ok, Note::FilledFromOrigin, 0.15);
+            stage.end(sent, 0, Outcome::Ok, Note::FilledFromOrigin, 0.15);
         }
     }
     let most = fills.values().max().copied().unwrap_or(0);
--- a/tests/memory.rs
+++ b/tests/memory.rs
@@ -15,11 +15,11 @@
     let (cache, served) = cache_node();
     thread::spawn(move || answer_all(&served));
     let members = vec![member(EDGE, "standard", cache), member(ORIGIN, "origin", cache)];
-    Node::start(name, members, |c| {
-        c["limits"]["memory_mb"] = json!(memory_mb);
-        c["memory"] = memory.clone();
+    Node::start(name, members, |config| {
+        config["limits"]["memory_mb"] = json!(memory_mb);
+        config["memory"] = memory.clone();
         // A long deadline, so that no result depends on the speed of the machine.
-        c["settings"]["profiles"][0]["deadline"] = json!(60.0);
+        config["settings"]["profiles"][0]["deadline"] = json!(60.0);
     })
 }
 
@@ -63,10 +63,10 @@
 /// the request: a front may close a connection without an open request, and does so while memory is scarce.
 fn get(node: &Node, tag: u64, kb: u64) -> (String, usize) {
     for retry in 0..5 {
-        let mut c = node.connect();
+        let mut client = node.connect();
         let bytes = request(tag + 100_000 * retry, "media", kb, 0);
-        if c.stream.write_all(&bytes).is_ok() && c.stream.peek(&mut [0]).is_ok_and(|n| n > 0) {
-            let words = c.answer();
+        if client.stream.write_all(&bytes).is_ok() && client.stream.peek(&mut [0]).is_ok_and(|n| n > 0) {
+            let words = client.answer();
             return (words[1].clone(), words[3].len());
         }
     }
@@ -78,10 +78,10 @@
 fn fill_unread(node: &Node, slow: &mut [Client], unread: f64) -> u64 {
     let (mut sent, mut read) = (0, 0);
     eventually("unread answers fill the account", || {
-        for (i, c) in slow.iter_mut().enumerate() {
-            (1..=6).for_each(|n| c.write(&request(10_000 * i as u64 + sent + n, "media", 240, 0)));
+        for (i, client) in slow.iter_mut().enumerate() {
+            (1..=6).for_each(|n| client.write(&request(10_000 * i as u64 + sent + n, "media", 240, 0)));
             // One answer is read in each round, since the front closes a client that reads nothing for long.
-            c.answer();
+            client.answer();
         }
         (sent, read) = (sent + 6, read + 1);
         // Checked twice, since the system's buffers may still take answers from the front.
@@ -94,7 +94,7 @@
 fn read_in_turns(slow: &mut [Client], count: u64) -> Vec<Vec<Vec<String>>> {
     let mut answers = vec![Vec::new(); slow.len()];
     for _ in 0..count {
-        slow.iter_mut().zip(&mut answers).for_each(|(c, all)| all.push(c.answer()));
+        slow.iter_mut().zip(&mut answers).for_each(|(client, all)| all.push(client.answer()));
     }
     answers
 }
@@ -137,31 +137,31 @@
         front("bodies", 32, json!({"bodies": {"cap_mb": 0.4, "guarantee_mb": 0.4, "reserve_mb": 0.15}}));
     let complete = request(1, "media", 1, 45_000);
     let mut partial: Vec<Client> = (0..8).map(|_| node.connect()).collect();
-    partial.iter_mut().for_each(|c| c.write(&complete[..30_000]));
+    partial.iter_mut().for_each(|client| client.write(&complete[..30_000]));
     eventually("some bodies are refused", || node.accounts()["bodies.refused"] > 0.0);
     // Refusals are sent before the whole body has arrived, and the connection goes on after the rest of the
     // body.
     let mut refused = 0;
-    for c in &mut partial {
-        c.stream.set_read_timeout(Some(std::time::Duration::from_millis(300))).unwrap();
-        if c.stream.peek(&mut [0]).is_ok() {
+    for client in &mut partial {
+        client.stream.set_read_timeout(Some(std::time::Duration::from_millis(300))).unwrap();
+        if client.stream.peek(&mut [0]).is_ok() {
             refused += 1;
-            assert_eq!(c.answer(), ["1", "full", "pushback=500", ""]);
-            c.stream.set_read_timeout(Some(PATIENCE)).unwrap();
-            c.write(&complete[30_000..]);
-            assert_eq!(c.get(2, 3), ("ok".into(), 3000));
+            assert_eq!(client.answer(), ["1", "full", "pushback=500", ""]);
+            client.stream.set_read_timeout(Some(PATIENCE)).unwrap();
+            client.write(&complete[30_000..]);
+            assert_eq!(client.get(2, 3), ("ok".into(), 3000));
         }
     }
     assert!((1..8).contains(&refused), "{refused} of 8 refused");
-    let mut c = node.connect();
-    c.write(&request(7, "holds", 1, 45_000));
-    assert_eq!(c.answer()[1], "ok", "a hold with a body gets the reserve");
+    let mut client = node.connect();
+    client.write(&request(7, "holds", 1, 45_000));
+    assert_eq!(client.answer()[1], "ok", "a hold with a body gets the reserve");
     let now = node.accounts();
     assert!(now["bodies.peak"] <= 0.4e6, "{now:?}");
     drop(partial);
     eventually("the bodies account is empty", || node.accounts()["bodies.now"] == 0.0);
-    c.write(&request(8, "media", 1, 45_000));
-    assert_eq!(c.answer()[1], "ok", "bodies are accepted again");
+    client.write(&request(8, "media", 1, 45_000));
+    assert_eq!(client.answer()[1], "ok", "bodies are accepted again");
 }
 
 #[test]
@@ -169,17 +169,17 @@
     let (cache, served) = cache_node();
     let members = vec![member(EDGE, "standard", cache), member(ORIGIN, "origin", cache)];
     let memory = json!({"waiting": {"cap_mb": 0.08, "guarantee_mb": 0.08, "reserve_mb": 0.03}});
-    let node = Node::start("waiting", members, |c| c["memory"] = memory.clone());
+    let node = Node::start("waiting", members, |config| config["memory"] = memory.clone());
     let mut clients: Vec<Client> = (0..3).map(|_| node.connect()).collect();
-    for (i, c) in clients.iter_mut().enumerate() {
-        (1..=16).for_each(|tag| c.write(&request(100 * i as u64 + tag, "media", 1, 0)));
+    for (i, client) in clients.iter_mut().enumerate() {
+        (1..=16).for_each(|tag| client.write(&request(100 * i as u64 + tag, "media", 1, 0)));
     }
     // The cache node answers nothing, so the answers that arrive now are refusals.
-    let c = &mut clients[2];
-    assert_eq!(c.answer()[1..3], ["full", "pushback=500"]);
+    let client = &mut clients[2];
+    assert_eq!(client.answer()[1..3], ["full", "pushback=500"]);
     assert!(node.logged("'waiting' refuses").contains("cap 80000"));
-    let c = &mut clients[2];
-    c.write(&request(900, "holds", 1, 0));
+    let client = &mut clients[2];
+    client.write(&request(900, "holds", 1, 0));
     eventually("the hold is sent", || {
         served.try_iter().any(|s| s.verb == "serve" && s.field("sort") == Some("holds"))
     });
@@ -195,8 +195,8 @@
 fn a_new_connection_without_free_memory_evicts_an_idle_one() {
     let node = front("seats", 32, json!({"clients": {"cap_mb": 0.17, "guarantee_mb": 0.17}}));
     let silent: Vec<Client> = (0..30).map(|_| node.connect()).collect();
-    let mut c = node.connect();
-    assert_eq!(c.get(1, 5), ("ok".into(), 5000));
+    let mut client = node.connect();
+    assert_eq!(client.get(1, 5), ("ok".into(), 5000));
     let now = node.accounts();
     assert!(now["clients.peak"] <= 0.17e6 && now["clients.refused"] > 0.0, "{now:?}");
     drop(silent);
--- a/tests/operate.rs
+++ b/tests/operate.rs
@@ -50,14 +50,14 @@
     assert!(before.starts_with("ok\n") && before.ends_with("\neof\n"), "{before}");
     assert_eq!(series_value(&before, "front_success{tier=\"media\"}"), 0);
     assert_eq!(series_value(&before, "front_hosts_listed"), 2);
-    let mut c = node.connect();
-    c.ask("1", 1, "");
+    let mut client = node.connect();
+    client.ask("1", 1, "");
     next(&served).hit(b"12345");
-    assert_eq!(c.answer()[1], "ok");
-    c.send(&["REQ", "2", "media", "ttl=100", ""]);
-    assert_eq!(c.answer()[1], "fault");
-    (0..33).for_each(|i| c.ask(&(100 + i).to_string(), 0xb00 + i, ""));
-    assert_eq!(c.answer()[..2], ["132", "full"]);
+    assert_eq!(client.answer()[1], "ok");
+    client.send(&["REQ", "2", "media", "ttl=100", ""]);
+    assert_eq!(client.answer()[1], "fault");
+    (0..33).for_each(|i| client.ask(&(100 + i).to_string(), 0xb00 + i, ""));
+    assert_eq!(client.answer()[..2], ["132", "full"]);
     let after = call(admin, "counters");
     assert_eq!(series_value(&after, "front_success{tier=\"media\"}"), 1);
     assert_eq!(series_value(&after, "front_failure{tier=\"media\"}"), 1);
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn invalid_calls_are_refused_and_silent_callers_block_nobody() {
+fn invalid_calls_are_refused_and_silent_callers_do_not_block_others() {
     let (_node, _served, admin) = front("operate-silent");
     assert!(call(admin, "dance").starts_with("fail unknown call"));
     assert!(call(admin, "cordon s-12").starts_with("fail 's-12' is no node id"));
@@ -101,15 +101,15 @@
 
 /// Requests an object that no other request is for and has the cache that gets the request answer it. Returns
 /// the index of that cache.
-fn ask(c: &mut Client, tag: u64, caches: &[&std::sync::mpsc::Receiver<Served>]) -> usize {
+fn ask(client: &mut Client, tag: u64, caches: &[&std::sync::mpsc::Receiver<Served>]) -> usize {
     let fields = format!("call={tag:016x},ttl=3000,row={tag:016x},slice=0,set=17,heap=10.5");
-    c.send(&["REQ", &tag.to_string(), "media", &fields, ""]);
+    client.send(&["REQ", &tag.to_string(), "media", &fields, ""]);
     let by = Instant::now() + PATIENCE;
     loop {
         for (i, cache) in caches.iter().enumerate() {
             if let Ok(mut served) = cache.try_recv() {
                 served.hit(b"x");
-                assert_eq!(c.answer()[..2], [tag.to_string().as_str(), "ok"]);
+                assert_eq!(client.answer()[..2], [tag.to_string().as_str(), "ok"]);
                 return i;
             }
         }
@@ -134,18 +134,18 @@
     let old = Node::start_in("operate-cordon-old", members(), admin_on, Some(&tmp));
     let (address, admin) = (old.address, admin_of(&old));
     // This connection is made before the second process starts, so it stays with the first.
-    let mut c = old.connect();
+    let mut client = old.connect();
     let caches = [&at_edge, &at_other];
     // Both caches get requests before the cordon.
     let mut requests = [0; 2];
-    (1..=40).for_each(|tag| requests[ask(&mut c, tag, &caches)] += 1);
+    (1..=40).for_each(|tag| requests[ask(&mut client, tag, &caches)] += 1);
     assert!(requests[0] > 0 && requests[1] > 0, "{requests:?}");
     assert_eq!(call(admin, "cordon s-00000007"), "ok s-00000007 cordoned\n");
     assert_eq!(call(admin, "cordon s-00000007"), "ok s-00000007 was cordoned already\n");
     assert!(call(admin, "cordon s-0000abcd").starts_with("fail s-0000abcd is on no list"));
     settles(admin, "front_hosts_down", 1);
     for tag in 41..=80 {
-        assert_eq!(ask(&mut c, tag, &caches), 1, "request {tag} went to the cordoned node");
+        assert_eq!(ask(&mut client, tag, &caches), 1, "request {tag} went to the cordoned node");
     }
     // The process that replaces this one at its address applies the cordon from its start. It gets every new
     // connection after the old process has received SIGTERM.
@@ -158,8 +158,12 @@
     old.signal("-TERM");
     old.logged("listener closed");
     let mut with_new: Vec<Client> = (0..40).map(|_| new.connect()).collect();
-    for (c, tag) in with_new.iter_mut().zip(81..) {
-        assert_eq!(ask(c, tag, &caches), 1, "request {tag} went to the cordoned node after the replacement");
+    for (client, tag) in with_new.iter_mut().zip(81..) {
+        assert_eq!(
+            ask(client, tag, &caches),
+            1,
+            "request {tag} went to the cordoned node after the replacement"
+        );
     }
     let served = series_value(&call(admin, "counters"), "front_success{tier=\"media\"}");
     assert_eq!(served, 40, "requests of 40 clients");
@@ -203,7 +207,7 @@
     old.logged("listener closing");
     assert!(idle.closed(), "an idle connection is closed at once");
     old.logged("listener closed");
-    assert!(std::net::TcpStream::connect(old.address).is_err(), "nobody listens any more");
+    assert!(std::net::TcpStream::connect(old.address).is_err(), "the listener is closed");
     // The open request is still answered, and its connection is closed after that.
     asked.hit(b"late but whole");
     assert_eq!(busy.answer(), ["1", "ok", "", "late but whole"]);
@@ -230,10 +234,10 @@
     assert_eq!(call(admin, "health"), "ok yes\n");
     assert!(series_value(&call(admin, "counters"), "front_hosts_listed") == 2);
     assert!(started.elapsed() < Duration::from_secs(1), "{:?}", started.elapsed());
-    let mut c = node.connect();
-    c.ask("1", 1, "");
+    let mut client = node.connect();
+    client.ask("1", 1, "");
     next(&served).hit(b"through");
-    assert_eq!(c.answer(), ["1", "ok", "", "through"]);
+    assert_eq!(client.answer(), ["1", "ok", "", "through"]);
     drop(crowd);
 }
 
@@ -242,7 +246,7 @@
     let tmp = std::env::temp_dir().join(format!("onyxyoke-operate-takeover-{}", std::process::id()));
     std::fs::create_dir_all(&tmp).unwrap();
     let (cache, served) = cache_node();
-    std::thread::spawn(move || served.iter().for_each(|mut s| s.hit(b"whole")));
+    std::thread::spawn(move || served.iter().for_each(|mut one| one.hit(b"whole")));
     let members = || vec![member(EDGE, "standard", cache), member(ORIGIN, "origin", cache)];
     let admin_on = |config: &mut serde_json::Value| config["admin_addr"] = json!("127.0.0.1:0");
     let mut old = Node::start_in("operate-takeover-old", members(), admin_on, Some(&tmp));
@@ -261,11 +265,11 @@
     // Sends one request on the given connection and, if the front closes that one as the request arrives,
     // once more on a new connection. A connection made for the request may be neither refused nor reset.
     let (mut lost, mut call_id) = (Vec::new(), 0u64);
-    let mut request_once = |c: &mut Option<Client>, lost: &mut Vec<String>| {
+    let mut request_once = |connection: &mut Option<Client>, lost: &mut Vec<String>| {
         for retry in [false, true] {
             call_id += 1;
-            let new_connection = c.is_none();
-            let client = c.get_or_insert_with(|| Client::new(TcpStream::connect(address).unwrap()));
+            let new_connection = connection.is_none();
+            let client = connection.get_or_insert_with(|| Client::new(TcpStream::connect(address).unwrap()));
             let fields = format!("call={call_id:016x},ttl=3000,row={OBJECT},slice=0,set=17,heap=10.5");
             let answer = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
                 client.send(&["REQ", &call_id.to_string(), "media", &fields, ""]);
@@ -275,7 +279,7 @@
                 Ok(words) if words[1] == "ok" => return,
                 Ok(words) => return lost.push(format!("{words:?}")),
                 Err(_) if !retry && !new_connection => {
-                    *c = None;
+                    *connection = None;
                     lost.push(String::from("resent"));
                 }
                 Err(_) => return lost.push(format!("request {call_id} lost twice")),
@@ -291,7 +295,7 @@
             signalled = true;
         }
         request_once(&mut None, &mut lost);
-        persistent.iter_mut().for_each(|c| request_once(c, &mut lost));
+        persistent.iter_mut().for_each(|connection| request_once(connection, &mut lost));
     }
     // A request that arrives as the front closes an idle connection is sent once more, as the protocol
     // requires of clients. This is rare, and no request is lost.
@@ -314,7 +318,7 @@
     let tmp = std::env::temp_dir().join(format!("onyxyoke-operate-standby-{}", std::process::id()));
     std::fs::create_dir_all(&tmp).unwrap();
     let (cache, served) = cache_node();
-    std::thread::spawn(move || served.iter().for_each(|mut s| s.hit(b"whole")));
+    std::thread::spawn(move || served.iter().for_each(|mut one| one.hit(b"whole")));
     let members = || vec![member(EDGE, "standard", cache), member(ORIGIN, "origin", cache)];
     let admin_on = |config: &mut serde_json::Value| config["admin_addr"] = json!("127.0.0.1:0");
     let mut first = Node::start_in("operate-standby-first", members(), admin_on, Some(&tmp));
@@ -378,7 +382,7 @@
         let tmp = std::env::temp_dir().join(format!("onyxyoke-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&tmp).unwrap();
         let (cache, served) = cache_node();
-        std::thread::spawn(move || served.iter().for_each(|mut s| s.hit(b"whole")));
+        std::thread::spawn(move || served.iter().for_each(|mut one| one.hit(b"whole")));
         let members = || vec![member(EDGE, "standard", cache), member(ORIGIN, "origin", cache)];
         let admin_on = |config: &mut serde_json::Value| config["admin_addr"] = json!("127.0.0.1:0");
         let mut first = Node::start_in(&format!("{name}-first"), members(), admin_on, Some(&tmp));
@@ -451,7 +455,7 @@
     let tmp = std::env::temp_dir().join(format!("onyxyoke-operate-beside-{}", std::process::id()));
     std::fs::create_dir_all(&tmp).unwrap();
     let (cache, served) = cache_node();
-    std::thread::spawn(move || served.iter().for_each(|mut s| s.hit(b"whole")));
+    std::thread::spawn(move || served.iter().for_each(|mut one| one.hit(b"whole")));
     let members = || vec![member(EDGE, "standard", cache), member(ORIGIN, "origin", cache)];
     let admin_on = |config: &mut serde_json::Value| config["admin_addr"] = json!("127.0.0.1:0");
     let old = Node::start_in("operate-beside-old", members(), admin_on, Some(&tmp));
@@ -522,12 +526,12 @@
 
 /// Guards against a slow write of the cordons file that blocks requests and operators.
 #[test]
-fn a_slow_write_of_the_cordons_blocks_nobody() {
+fn a_slow_write_of_the_cordons_does_not_block_others() {
     let (node, served, admin, cordons) = front_with_folder("operate-slow-write");
     make_pipe(&cordons.with_extension(format!("new-{}", node.child.id())));
     let mut cordon = TcpStream::connect(admin).unwrap();
     cordon.write_all(b"cordon s-00000007\n").unwrap();
-    // The cordon is in force, and the file is not written while nobody reads from the pipe.
+    // The cordon is in force, and the file is not written while the pipe has no reader.
     await_cordon(admin);
     assert_responsive(&node, &served, admin);
     cordon.set_nonblocking(true).unwrap();
@@ -539,7 +543,7 @@
 
 /// Guards against a slow read of the cordons file that blocks requests and operators.
 #[test]
-fn a_slow_read_of_the_cordons_blocks_nobody() {
+fn a_slow_read_of_the_cordons_does_not_block_others() {
     let (node, served, admin, cordons) = front_with_folder("operate-slow-read");
     make_pipe(&cordons);
     // This open returns once the front has opened the pipe, and the front's read blocks until the writer is
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -15,10 +15,10 @@
 #[test]
 fn requests_aborts_and_invalid_input_follow_the_protocol() {
     let (node, served) = one_cache("protocol");
-    let mut c = node.connect();
-    c.send(&["HEALTH", "8", ""]);
-    assert_eq!(c.answer()[..2], ["8", "yes"]);
-    c.ask("1", 0xa1, ",seen=e9");
+    let mut client = node.connect();
+    client.send(&["HEALTH", "8", ""]);
+    assert_eq!(client.answer()[..2], ["8", "yes"]);
+    client.ask("1", 0xa1, ",seen=e9");
     let mut asked = next(&served);
     assert_eq!(
         (&*asked.id, asked.field("asset"), asked.field("have")),
@@ -30,31 +30,31 @@
         "the patience leaves a margin before the client gives up: {patience}"
     );
     asked.answer("VALID", &format!("n=TCP_HIT,etag=e9,made={}", (unix() * 1000.0) as u64), b"");
-    assert_eq!(c.answer(), ["1", "ok", "current=1", ""]);
+    assert_eq!(client.answer(), ["1", "ok", "current=1", ""]);
     // Answers are forwarded in any order, complete and unchanged.
-    c.ask("2", 0xa2, "");
-    c.ask("3", 0xa3, "");
+    client.ask("2", 0xa2, "");
+    client.ask("3", 0xa3, "");
     let (mut second, mut third) = (next(&served), next(&served));
     third.hit(b"three\r\n");
-    assert_eq!(c.answer(), ["3", "ok", "", "three\r\n"]);
+    assert_eq!(client.answer(), ["3", "ok", "", "three\r\n"]);
     second.hit(b"two");
-    assert_eq!(c.answer(), ["2", "ok", "", "two"]);
+    assert_eq!(client.answer(), ["2", "ok", "", "two"]);
     // An aborted request gets no answer, and the cache node gets a cancel.
-    c.ask("4", 0xa4, "");
+    client.ask("4", 0xa4, "");
     let asked = next(&served);
-    c.send(&["ABORT", "4"]);
+    client.send(&["ABORT", "4"]);
     let cancel = next(&served);
     assert_eq!((&*cancel.verb, &cancel.id), ("cancel", &asked.id));
     // Commands that are invalid but have a readable tag.
-    c.send(&["REQ", "5", "media", "ttl=100", ""]);
-    assert_eq!(c.answer()[..2], ["5", "fault"]);
-    c.send(&["REQ", "6", "novels", "ttl=100", ""]);
-    assert_eq!(c.answer()[..2], ["6", "fault"]);
-    c.send(&["DANCE", "7"]);
-    assert_eq!(c.answer()[..2], ["7", "fault"]);
+    client.send(&["REQ", "5", "media", "ttl=100", ""]);
+    assert_eq!(client.answer()[..2], ["5", "fault"]);
+    client.send(&["REQ", "6", "novels", "ttl=100", ""]);
+    assert_eq!(client.answer()[..2], ["6", "fault"]);
+    client.send(&["DANCE", "7"]);
+    assert_eq!(client.answer()[..2], ["7", "fault"]);
     // A request beyond 32 open ones is refused at once with a pushback.
-    (0..33).for_each(|i| c.ask(&(100 + i).to_string(), 0xb00 + i, ""));
-    assert_eq!(c.answer(), ["132", "full", "pushback=500", ""]);
+    (0..33).for_each(|i| client.ask(&(100 + i).to_string(), 0xb00 + i, ""));
+    assert_eq!(client.answer(), ["132", "full", "pushback=500", ""]);
     // Bytes that cannot be parsed: this connection is closed with a log line, other connections stay open.
     let mut bad = node.connect();
     bad.stream.write_all(b"GET / HTTP/1.1\r\n\r\n").unwrap();
@@ -64,8 +64,8 @@
     large.stream.write_all(b"*5\r\n$99999999\r\n").unwrap();
     assert!(large.closed());
     node.logged("an oversized frame");
-    c.send(&["HEALTH", "9", ""]);
-    assert_eq!(c.answer()[..2], ["9", "yes"]);
+    client.send(&["HEALTH", "9", ""]);
+    assert_eq!(client.answer()[..2], ["9", "yes"]);
 }
 
 /// Guards against lost updates of the coordinator: requests after a drain or a purge must respect it,
@@ -99,14 +99,14 @@
     // A broken frame closes the connection. The next one starts after the drain, so the front has read it.
     let (last, _feed) = node.feeds.recv_timeout(PATIENCE).unwrap();
     assert_eq!(last, 5);
-    let mut c = node.connect();
+    let mut client = node.connect();
     for i in 0..8 {
-        c.ask(&(1 + i).to_string(), i, "");
+        client.ask(&(1 + i).to_string(), i, "");
         let mut asked = next(&other);
         let age: u64 = asked.field("maxage").expect("an age limit after the purge").parse().unwrap();
         assert!(age < PATIENCE.as_millis() as u64);
         asked.hit(b"x");
-        assert_eq!(c.answer()[1], "ok");
+        assert_eq!(client.answer()[1], "ok");
     }
     assert!(served.try_recv().is_err(), "a draining cache gets a new request");
 }
@@ -141,7 +141,7 @@
 fn misbehaving_clients_are_closed_and_do_not_block_others() {
     let (cache, served) = cache_node();
     let members = vec![member(EDGE, "standard", cache), member(ORIGIN, "origin", cache)];
-    let node = Node::start("rude", members, |c| c["limits"]["sockets"] = json!(64));
+    let node = Node::start("rude", members, |config| config["limits"]["sockets"] = json!(64));
     let started = std::time::Instant::now();
     let mut large = node.connect();
     large.stream.write_all(b"*5\r\n$3\r\nREQ\r\n$1\r\n1\r\n$5\r\nmedia\r\n$60000000\r\n").unwrap();
@@ -158,8 +158,8 @@
     partial.stream.write_all(b"*5\r\n$3\r\nREQ").unwrap();
     let mut silent: Vec<Client> = (0..60).map(|_| node.connect()).collect();
     // A client with an open request is not evicted for new connections.
-    let mut c = node.connect();
-    c.ask("1", 0xb1, "");
+    let mut client = node.connect();
+    client.ask("1", 0xb1, "");
     let mut asked = loop {
         let s = next(&served);
         if s.verb == "serve" {
@@ -168,7 +168,7 @@
     };
     silent.extend((0..60).map(|_| node.connect()));
     asked.hit(b"x");
-    assert_eq!(c.answer()[1], "ok");
+    assert_eq!(client.answer()[1], "ok");
     assert!(partial.closed() && silent.iter_mut().all(Client::closed));
     assert!(started.elapsed() < std::time::Duration::from_secs(3), "{:?}", started.elapsed());
 }
@@ -211,19 +211,19 @@
         node.signal("-USR1");
         node.logged("counters").contains("purges=2")
     });
-    let mut c = node.connect();
-    c.ask("1", 1, "");
+    let mut client = node.connect();
+    client.ask("1", 1, "");
     next(&served).hit(b"x");
-    assert_eq!(c.answer()[1], "ok");
+    assert_eq!(client.answer()[1], "ok");
 }
 
 #[test]
 fn counters_are_printed_on_request() {
     let (node, served) = one_cache("counters");
-    let mut c = node.connect();
-    c.ask("1", 1, "");
+    let mut client = node.connect();
+    client.ask("1", 1, "");
     next(&served).hit(b"12345");
-    c.answer();
+    client.answer();
     node.signal("-USR1");
     let line = node.logged("counters");
     assert!(
@@ -237,12 +237,12 @@
 #[test]
 fn requests_at_a_silent_cache_are_retried_or_refused() {
     let (node, [(_, silent), (_, answering)]) = two_caches("silent");
-    let mut c = node.connect();
+    let mut client = node.connect();
     // Objects are spread by hash: those of the silent cache are retried at the other once that one answers.
     let mut tags = Vec::new();
     for i in 0..12u64 {
         let fields = format!("call={i:016x},ttl=5000,row={:016x},slice=0,set=1,heap=10", i * 7919);
-        c.send(&["REQ", &(i + 1).to_string(), "media", &fields, ""]);
+        client.send(&["REQ", &(i + 1).to_string(), "media", &fields, ""]);
         tags.push(i + 1);
     }
     let stop = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(false));
@@ -256,7 +256,7 @@
             }
         }
     });
-    let answers: Vec<Vec<String>> = tags.iter().map(|_| c.answer()).collect();
+    let answers: Vec<Vec<String>> = tags.iter().map(|_| client.answer()).collect();
     stop.store(true, std::sync::atomic::Ordering::Relaxed);
     worker.join().unwrap();
     // Served by the other cache, or refused if the director estimates a late answer. No request stays open.
@@ -274,7 +274,7 @@
 #[test]
 fn malformed_answers_are_requested_again_and_extra_ones_ignored() {
     let (node, served) = one_cache("spoilt");
-    let mut c = node.connect();
+    let mut client = node.connect();
     let made = (unix() * 1000.0) as u64;
     let good =
         |id: &str, body: &str| format!("{id} HIT n=TCP_HIT,etag=e,made={made} {}\r\n{body}\r\n", body.len());
@@ -286,7 +286,7 @@
     ];
     for (i, text) in malformed.into_iter().enumerate() {
         let started = std::time::Instant::now();
-        c.ask(&(i + 1).to_string(), i as u64, "");
+        client.ask(&(i + 1).to_string(), i as u64, "");
         let mut first = next(&served);
         first.raw(&text.replace("ID", &first.id));
         let mut retry = next(&served);
@@ -295,16 +295,16 @@
         // Extra answers: one with an unknown id before, and a second one for the same id after.
         let all = [good("00000000000000ff", "no"), good(&retry.id, "yes"), good(&retry.id, "no")].concat();
         retry.raw(&all);
-        assert_eq!(c.answer()[3], "yes");
+        assert_eq!(client.answer()[3], "yes");
     }
     assert!(served.try_recv().is_err());
     // A different request under the call id of an open one is rejected.
-    c.ask("8", 0xa8, "");
+    client.ask("8", 0xa8, "");
     let mut open = next(&served);
-    c.ask("9", 0xa8, ",seen=e");
-    assert_eq!(c.answer()[..2], ["9", "fault"]);
+    client.ask("9", 0xa8, ",seen=e");
+    assert_eq!(client.answer()[..2], ["9", "fault"]);
     open.hit(b"eight");
-    assert_eq!(c.answer()[3], "eight");
+    assert_eq!(client.answer()[3], "eight");
 }
 
 #[test]
@@ -316,26 +316,34 @@
         let message = *started.unwrap_err().downcast::<String>().unwrap();
         assert!(message.contains(key), "{message}");
     };
-    refused("bad1", &|c| c["limits"]["sockets"] = json!("many"), "'limits.sockets' is not a number above 0");
+    refused(
+        "bad1",
+        &|config| config["limits"]["sockets"] = json!("many"),
+        "'limits.sockets' is not a number above 0",
+    );
     // The message names the file as well.
     refused(
         "bad6",
-        &|c| c["limits"]["sockets"] = json!(0),
+        &|config| config["limits"]["sockets"] = json!(0),
         "config.json: 'limits.sockets' is not a number above 0",
     );
-    refused("bad2", &|c| drop(c.as_object_mut().unwrap().remove("coordinator")), "'coordinator' is missing");
+    refused(
+        "bad2",
+        &|config| drop(config.as_object_mut().unwrap().remove("coordinator")),
+        "'coordinator' is missing",
+    );
     refused(
         "bad3",
-        &|c| c["settings"]["caps"]["cancel"] = json!(1),
+        &|config| config["settings"]["caps"]["cancel"] = json!(1),
         "'settings.caps.cancel' is not true or false",
     );
     refused(
         "bad4",
-        &|c| c["known"]["updates"][0]["endpoints"]["members"] = json!([{"id": 7}]),
+        &|config| config["known"]["updates"][0]["endpoints"]["members"] = json!([{"id": 7}]),
         "members.0.id'",
     );
-    let price = |c: &mut Value| c["settings"]["prices"] = json!({"handshake": "high"});
+    let price = |config: &mut Value| config["settings"]["prices"] = json!({"handshake": "high"});
     refused("bad5", &price, "'settings.prices.handshake' is not a number of 0 or more");
     // A price of 0 is valid, and most installations use it.
-    Node::start("free", Vec::new(), |c| c["settings"]["prices"] = json!({"handshake": 0.0}));
+    Node::start("free", Vec::new(), |config| config["settings"]["prices"] = json!({"handshake": 0.0}));
 }
--- a/tests/policy/placement.rs
+++ b/tests/policy/placement.rs
@@ -23,9 +23,9 @@
 
 #[test]
 fn a_hot_object_spreads_by_sibling_fills_before_its_cache_is_overloaded() {
-    let mut s = Stage::new(settings(), &small_fleet());
-    let first = s.hit(7, 300.0);
-    let burst: Vec<Sent> = (0..14).map(|_| s.fetch(7, 300.0)).collect();
+    let mut stage = Stage::new(settings(), &small_fleet());
+    let first = stage.hit(7, 300.0);
+    let burst: Vec<Sent> = (0..14).map(|_| stage.fetch(7, 300.0)).collect();
     let spread: Vec<&Sent> = burst.iter().filter(|b| b.node != first.node).collect();
     assert!(!spread.is_empty(), "one cache must not get all requests");
     assert!(spread.iter().all(|b| b.source == first.node && b.only_if_cached), "{spread:?}");
@@ -33,11 +33,11 @@
 
 #[test]
 fn a_sibling_miss_drops_the_belief_in_its_copy() {
-    let mut s = Stage::new(settings(), &small_fleet());
-    let first = s.hit(7, 300.0);
-    let burst: Vec<Sent> = (0..14).map(|_| s.fetch(7, 300.0)).collect();
+    let mut stage = Stage::new(settings(), &small_fleet());
+    let first = stage.hit(7, 300.0);
+    let burst: Vec<Sent> = (0..14).map(|_| stage.fetch(7, 300.0)).collect();
     let spread = *burst.iter().find(|b| b.only_if_cached).expect("a sibling fill");
-    let retry = s.end(spread, 0, Outcome::Miss, Note::SourceMiss, 0.01);
+    let retry = stage.end(spread, 0, Outcome::Miss, Note::SourceMiss, 0.01);
     let retry = sent(&retry)[0];
     assert!(retry.source != first.node, "the retry is filled from a parent or the origin: {retry:?}");
 }
@@ -48,8 +48,8 @@
 fn objects_are_placed_in_proportion_to_link_capacity() {
     let sized = |id, weight| Node { weight, ..edge(id) };
     let nodes = [sized(10, 2.0), sized(11, 6.0), parent(20), origin(30)];
-    let mut s = Stage::new(Settings { weights_are_link_sizes: true, ..settings() }, &nodes);
-    let small = (1..=2_000).filter(|&object| s.hit(object, 10.0).node == 10).count();
+    let mut stage = Stage::new(Settings { weights_are_link_sizes: true, ..settings() }, &nodes);
+    let small = (1..=2_000).filter(|&object| stage.hit(object, 10.0).node == 10).count();
     assert!((430..570).contains(&small), "a quarter of 2000 objects: {small}");
 }
 
@@ -60,11 +60,11 @@
     let nodes: Vec<Node> = (10..30).map(edge).chain([parent(40), origin(50)]).collect();
     let homes = |object: u64| {
         let asked = (0..50).map(|me| {
-            let mut s = Stage::seeded(me, Settings { director_number: me as u16, ..settings() }, &nodes);
+            let mut stage = Stage::seeded(me, Settings { director_number: me as u16, ..settings() }, &nodes);
             for i in 0..30 {
-                s.hit(if i % 3 == 0 { 7 } else { 1_000 + 100 * me + i }, 50.0);
+                stage.hit(if i % 3 == 0 { 7 } else { 1_000 + 100 * me + i }, 50.0);
             }
-            s.fetch(object, 50.0).node
+            stage.fetch(object, 50.0).node
         });
         asked.collect::<std::collections::BTreeSet<u64>>().len()
     };
@@ -79,12 +79,12 @@
     let nodes: Vec<Node> = (10..20).map(edge).chain([parent(40), origin(50)]).collect();
     let mut to_new = 0;
     for me in 0..50 {
-        let mut s = Stage::seeded(me, Settings { director_number: me as u16, ..settings() }, &nodes);
+        let mut stage = Stage::seeded(me, Settings { director_number: me as u16, ..settings() }, &nodes);
         for _ in 0..40 {
-            s.hit(7, 50.0);
+            stage.hit(7, 50.0);
         }
-        s.list(ListKind::Delta, &[Node { ready_at: 0.0, ..edge(20) }]);
-        to_new += (0..10).filter(|_| s.hit(7, 50.0).node == 20).count();
+        stage.list(ListKind::Delta, &[Node { ready_at: 0.0, ..edge(20) }]);
+        to_new += (0..10).filter(|_| stage.hit(7, 50.0).node == 20).count();
     }
     assert!((10..100).contains(&to_new), "about a tenth of 500: {to_new}");
 }
@@ -94,21 +94,28 @@
 fn reason_counts_show_why_caches_were_chosen() {
     use onyxyoke::spread::RoutingReason;
     let nodes: Vec<Node> = (10..14).map(edge).chain([parent(40), origin(50)]).collect();
-    let mut s = Stage::new(settings(), &nodes);
-    s.mixed();
-    s.hit(3, 50.0);
-    let before = *s.director.reason_counts();
-    s.hit(3, 50.0);
-    assert_eq!(s.director.reason_counts().of(RoutingReason::Belief), before.of(RoutingReason::Belief) + 1);
+    let mut stage = Stage::new(settings(), &nodes);
+    stage.mixed();
+    stage.hit(3, 50.0);
+    let before = *stage.director.reason_counts();
+    stage.hit(3, 50.0);
+    assert_eq!(
+        stage.director.reason_counts().of(RoutingReason::Belief),
+        before.of(RoutingReason::Belief) + 1
+    );
     for _ in 0..60 {
-        s.hit(4, 50.0);
+        stage.hit(4, 50.0);
     }
-    assert!(s.director.reason_counts().of(RoutingReason::Heat) > 20, "{}", s.director.reason_counts());
-    s.list(ListKind::Delta, &[Node { ready_at: s.now, ..edge(10) }]);
+    assert!(
+        stage.director.reason_counts().of(RoutingReason::Heat) > 20,
+        "{}",
+        stage.director.reason_counts()
+    );
+    stage.list(ListKind::Delta, &[Node { ready_at: stage.now, ..edge(10) }]);
     for object in 2_000_000..2_000_200 {
-        s.hit(object, 1.0);
+        stage.hit(object, 1.0);
     }
-    let counts = s.director.reason_counts();
+    let counts = stage.director.reason_counts();
     assert!(counts.of(RoutingReason::Cold) > 0 && counts.of(RoutingReason::Hash) > 400, "{counts}");
     assert!(counts.to_string().starts_with("choices hash="), "{counts}");
 }
--- a/tests/policy/purges.rs
+++ b/tests/policy/purges.rs
@@ -5,23 +5,23 @@
 
 #[test]
 fn a_purge_drops_beliefs_and_limits_copy_age_until_the_settle_time() {
-    let mut s = Stage::new(Settings { join_fills: true, ..settings() }, &small_fleet());
-    let first = s.fetch(5, 50.0);
+    let mut stage = Stage::new(Settings { join_fills: true, ..settings() }, &small_fleet());
+    let first = stage.fetch(5, 50.0);
     assert_eq!((first.age, first.join), (0.0, true));
-    s.end(first, 0, Outcome::Ok, Note::Hit, 0.05);
-    s.event(Event::Purged { object: Some(ObjectId(5)), group: GroupId(1), age: 0.2 });
+    stage.end(first, 0, Outcome::Ok, Note::Hit, 0.05);
+    stage.event(Event::Purged { object: Some(ObjectId(5)), group: GroupId(1), age: 0.2 });
     for step in 0..13 {
-        let sent = s.hit(5, 50.0);
-        let since = s.now - 0.05 - 100.05 + 0.2;
+        let sent = stage.hit(5, 50.0);
+        let since = stage.now - 0.05 - 100.05 + 0.2;
         assert!(sent.age > 0.0 && sent.age <= since.max(0.001), "{sent:?} {step}");
         assert!(!sent.join, "a running fill may carry the old version");
-        s.now += 0.4;
+        stage.now += 0.4;
     }
-    s.now += 2.0;
-    assert_eq!(s.fetch(5, 50.0).age, 0.0);
+    stage.now += 2.0;
+    assert_eq!(stage.fetch(5, 50.0).age, 0.0);
     // A group purge with an age of 0: the limit must not become 0, which means no limit.
-    s.event(Event::Purged { object: None, group: GroupId(1), age: 0.0 });
-    let sent = s.fetch(5, 50.0);
+    stage.event(Event::Purged { object: None, group: GroupId(1), age: 0.0 });
+    let sent = stage.fetch(5, 50.0);
     assert!(sent.age > 0.0 && sent.age < 0.01);
 }
 
@@ -29,7 +29,7 @@
 fn the_age_limit_after_a_purge_is_capped_by_the_freshness_time() {
     let mut base = settings();
     base.classes[0].fresh_for = 2.0;
-    let mut s = Stage::new(base, &small_fleet());
-    s.event(Event::Purged { object: Some(ObjectId(5)), group: GroupId(1), age: 5.0 });
-    assert_eq!(s.fetch(5, 50.0).age, 2.0);
+    let mut stage = Stage::new(base, &small_fleet());
+    stage.event(Event::Purged { object: Some(ObjectId(5)), group: GroupId(1), age: 5.0 });
+    assert_eq!(stage.fetch(5, 50.0).age, 2.0);
 }
--- a/tests/policy/sources.rs
+++ b/tests/policy/sources.rs
@@ -5,21 +5,21 @@
 
 #[test]
 fn a_miss_is_filled_from_a_parent_or_from_the_origin_without_parents() {
-    let mut s = Stage::new(settings(), &small_fleet());
-    assert!([20, 21].contains(&s.fetch(1, 50.0).source));
-    let mut s = Stage::new(settings(), &[edge(10), origin(30)]);
-    assert_eq!(s.fetch(1, 50.0).source, 30);
+    let mut stage = Stage::new(settings(), &small_fleet());
+    assert!([20, 21].contains(&stage.fetch(1, 50.0).source));
+    let mut stage = Stage::new(settings(), &[edge(10), origin(30)]);
+    assert_eq!(stage.fetch(1, 50.0).source, 30);
 }
 
 #[test]
 fn the_faster_parent_gets_most_of_the_fills() {
-    let mut s = Stage::new(settings(), &small_fleet());
+    let mut stage = Stage::new(settings(), &small_fleet());
     let mut fills = [0, 0];
     for object in 1..200 {
-        let sent = s.fetch(object, 50.0);
+        let sent = stage.fetch(object, 50.0);
         fills[(sent.source - 20) as usize] += 1;
-        s.now += 0.05;
-        s.event(Event::AttemptEnd {
+        stage.now += 0.05;
+        stage.event(Event::AttemptEnd {
             request: RequestId(sent.id),
             attempt: 0,
             node: NodeId(sent.node),
@@ -36,20 +36,20 @@
 
 #[test]
 fn a_failing_origin_leaves_parents_in_use_and_causes_no_retry_storm() {
-    let mut s = Stage::new(settings(), &small_fleet());
+    let mut stage = Stage::new(settings(), &small_fleet());
     for object in 1..10 {
-        let x = s.fetch(object, 10.0);
-        s.end(x, 0, Outcome::Full, Note::OriginFailed, 0.001);
+        let attempt = stage.fetch(object, 10.0);
+        stage.end(attempt, 0, Outcome::Full, Note::OriginFailed, 0.001);
     }
-    assert!([20, 21].contains(&s.fetch(100, 10.0).source), "copies at the parents are still used");
-    let mut s = Stage::new(settings(), &[edge(10), edge(11), origin(30)]);
+    assert!([20, 21].contains(&stage.fetch(100, 10.0).source), "copies at the parents are still used");
+    let mut stage = Stage::new(settings(), &[edge(10), edge(11), origin(30)]);
     let mut attempts = 0;
     for object in 1..60 {
-        let (_, actions) = s.ask(object, 10.0);
-        for x in sent(&actions) {
+        let (_, actions) = stage.ask(object, 10.0);
+        for attempt in sent(&actions) {
             attempts += 1;
-            assert_eq!(x.source, 30);
-            let actions = s.end(x, 0, Outcome::Full, Note::SourceRefused, 0.002);
+            assert_eq!(attempt.source, 30);
+            let actions = stage.end(attempt, 0, Outcome::Full, Note::SourceRefused, 0.002);
             assert!(refused(&actions), "refused at once");
         }
     }
@@ -73,36 +73,36 @@
 #[test]
 fn a_fill_refused_by_a_parent_goes_to_another_parent_before_the_origin() {
     let nodes: Vec<Node> = (20..29).map(parent).chain([edge(10), origin(30)]).collect();
-    let mut s = Stage::new(settings(), &nodes);
-    let first = s.fetch(1, 20.0);
-    let retry = s.end(first, 0, Outcome::Full, Note::SourceRefused, 0.01);
+    let mut stage = Stage::new(settings(), &nodes);
+    let first = stage.fetch(1, 20.0);
+    let retry = stage.end(first, 0, Outcome::Full, Note::SourceRefused, 0.01);
     let retry = sent(&retry)[0];
     assert!(retry.source != first.source && retry.source != 30, "{retry:?}");
 }
 
 #[test]
 fn requests_to_a_failing_origin_are_few_while_parents_serve_their_copies() {
-    let mut s = Stage::new(settings(), &small_fleet());
+    let mut stage = Stage::new(settings(), &small_fleet());
     let (mut to_origin, mut only_cached) = (0, 0);
     for object in 1..200 {
-        let mut x = s.fetch(object, 20.0);
+        let mut attempt = stage.fetch(object, 20.0);
         let mut number = 0;
-        while x.only_if_cached {
+        while attempt.only_if_cached {
             only_cached += 1;
-            let next = s.end(x, number, Outcome::Miss, Note::SourceMiss, 0.001);
+            let next = stage.end(attempt, number, Outcome::Miss, Note::SourceMiss, 0.001);
             let Some(&next) = sent(&next).first() else { break };
-            (x, number) = (next, number + 1);
+            (attempt, number) = (next, number + 1);
         }
-        if !x.only_if_cached {
+        if !attempt.only_if_cached {
             to_origin += 1;
-            s.end(x, number, Outcome::Full, Note::OriginFailed, 0.001);
-            s.expire(x.id);
+            stage.end(attempt, number, Outcome::Full, Note::OriginFailed, 0.001);
+            stage.expire(attempt.id);
         }
     }
     assert!(to_origin < 60 && to_origin > 3 && only_cached > 300, "{to_origin} {only_cached}");
-    s.now += 60.0;
-    let x = s.fetch(1000, 20.0);
-    assert!(!x.only_if_cached, "the origin is used again after a while");
+    stage.now += 60.0;
+    let attempt = stage.fetch(1000, 20.0);
+    assert!(!attempt.only_if_cached, "the origin is used again after a while");
 }
 
 /// Guards against long paths to parents: each hub on the path costs time and bytes (scenario rough-1 of the
@@ -110,11 +110,11 @@
 #[test]
 fn parents_of_the_own_hub_are_preferred() {
     let far = Node { zone: ZoneId(1), ..parent(21) };
-    let mut s = Stage::new(settings(), &[edge(10), parent(20), far, origin(30)]);
-    assert!((1..=30).all(|o| s.fetch(o, 10.0).source == 20));
-    s.list(ListKind::Delta, &[Node { state: NodeState::Draining, ..parent(20) }]);
+    let mut stage = Stage::new(settings(), &[edge(10), parent(20), far, origin(30)]);
+    assert!((1..=30).all(|o| stage.fetch(o, 10.0).source == 20));
+    stage.list(ListKind::Delta, &[Node { state: NodeState::Draining, ..parent(20) }]);
     assert!(
-        (31..=60).all(|o| s.fetch(o, 10.0).source == 21),
+        (31..=60).all(|o| stage.fetch(o, 10.0).source == 21),
         "the parent of another hub while the own one drains"
     );
 }
--- a/tests/policy/stalls.rs
+++ b/tests/policy/stalls.rs
@@ -18,7 +18,7 @@
 const REQUEST_INTERVAL_S: f64 = 0.005;
 
 /// A director with the settings of the platform's front: no concurrent attempts and no parents.
-fn stage(nodes: &[Node]) -> TimedStage {
+fn timed_stage(nodes: &[Node]) -> TimedStage {
     let mut stage = Stage::new(Settings { concurrent_attempts: false, ..settings() }, nodes);
     stage.mixed();
     TimedStage { stage, timers: Vec::new(), actions: Vec::new() }
@@ -138,113 +138,113 @@
 /// may belong to the last request, with the others a moment behind it.
 #[test]
 fn answers_delivered_together_after_a_stall_are_not_cancelled() {
-    let mut s = stage(&[edge(10), origin(30)]);
-    let attempts = s.fetch_each(1, REQUESTS_IN_FLIGHT);
-    s.advance(STALL_S);
+    let mut timed = timed_stage(&[edge(10), origin(30)]);
+    let attempts = timed.fetch_each(1, REQUESTS_IN_FLIGHT);
+    timed.advance(STALL_S);
     for sent in attempts.iter().rev() {
-        s.end(*sent, 0, Outcome::Ok, Note::Hit);
-        s.advance(ANSWER_GAP_S);
-        s.end_cancelled(&attempts);
+        timed.end(*sent, 0, Outcome::Ok, Note::Hit);
+        timed.advance(ANSWER_GAP_S);
+        timed.end_cancelled(&attempts);
     }
-    let cancelled = attempts.iter().filter(|sent| s.is_cancelled(sent)).count();
-    assert_eq!((cancelled, s.count_refusals(100, LATER_REQUESTS)), (0, 0), "(cancelled, refused later)");
+    let cancelled = attempts.iter().filter(|sent| timed.is_cancelled(sent)).count();
+    assert_eq!((cancelled, timed.count_refusals(100, LATER_REQUESTS)), (0, 0), "(cancelled, refused later)");
 }
 
 /// Guards against taking delayed answers for lost because a request that came right after the stall is
 /// answered first.
 #[test]
 fn answers_overtaken_by_a_new_request_after_a_stall_are_not_cancelled() {
-    let mut s = stage(&[edge(10), origin(30)]);
-    let attempts = s.fetch_each(1, REQUESTS_IN_FLIGHT);
-    s.advance(STALL_S);
-    let new_request = s.fetch(50);
-    s.advance(ANSWER_GAP_S);
-    s.end(new_request, 0, Outcome::Ok, Note::Hit);
+    let mut timed = timed_stage(&[edge(10), origin(30)]);
+    let attempts = timed.fetch_each(1, REQUESTS_IN_FLIGHT);
+    timed.advance(STALL_S);
+    let new_request = timed.fetch(50);
+    timed.advance(ANSWER_GAP_S);
+    timed.end(new_request, 0, Outcome::Ok, Note::Hit);
     for sent in &attempts {
-        s.advance(ANSWER_GAP_S);
-        s.end_cancelled(&attempts);
-        s.end(*sent, 0, Outcome::Ok, Note::Hit);
+        timed.advance(ANSWER_GAP_S);
+        timed.end_cancelled(&attempts);
+        timed.end(*sent, 0, Outcome::Ok, Note::Hit);
     }
-    let cancelled = attempts.iter().filter(|sent| s.is_cancelled(sent)).count();
-    assert_eq!((cancelled, s.count_refusals(100, LATER_REQUESTS)), (0, 0), "(cancelled, refused later)");
+    let cancelled = attempts.iter().filter(|sent| timed.is_cancelled(sent)).count();
+    assert_eq!((cancelled, timed.count_refusals(100, LATER_REQUESTS)), (0, 0), "(cancelled, refused later)");
 }
 
 /// An answer that is really lost must be detected shortly after its node answers again.
 #[test]
 fn an_answer_lost_in_a_stall_is_cancelled_soon_after_the_stall() {
-    let mut s = stage(&[edge(10), origin(30)]);
-    let attempts = s.fetch_each(1, REQUESTS_IN_FLIGHT);
-    s.advance(STALL_S);
+    let mut timed = timed_stage(&[edge(10), origin(30)]);
+    let attempts = timed.fetch_each(1, REQUESTS_IN_FLIGHT);
+    timed.advance(STALL_S);
     for sent in &attempts[1..] {
-        s.end(*sent, 0, Outcome::Ok, Note::Hit);
-        s.advance(ANSWER_GAP_S);
+        timed.end(*sent, 0, Outcome::Ok, Note::Hit);
+        timed.advance(ANSWER_GAP_S);
     }
-    s.advance(DETECTION_LIMIT_S - (REQUESTS_IN_FLIGHT - 1) as f64 * ANSWER_GAP_S);
-    assert!(s.is_cancelled(&attempts[0]), "{:?}", s.actions);
+    timed.advance(DETECTION_LIMIT_S - (REQUESTS_IN_FLIGHT - 1) as f64 * ANSWER_GAP_S);
+    assert!(timed.is_cancelled(&attempts[0]), "{:?}", timed.actions);
 }
 
 /// Guards against ejecting a node because the front or its machine was paused: after the pause the overdue
 /// timers fire first, and the answers that arrived meanwhile are read after them.
 #[test]
 fn a_pause_of_the_front_ejects_no_node() {
-    let mut s = stage(&[edge(10), edge(11), origin(30)]);
-    let attempts = s.fetch_each(1, 4 * REQUESTS_IN_FLIGHT);
+    let mut timed = timed_stage(&[edge(10), edge(11), origin(30)]);
+    let attempts = timed.fetch_each(1, 4 * REQUESTS_IN_FLIGHT);
     let of = |node: u64| attempts.iter().copied().filter(move |sent| sent.node == node);
     // One cache has answered a request that was sent after the first request of the other cache.
     let first = of(11).next_back().expect("some request at cache 11");
-    s.end(first, 0, Outcome::Ok, Note::Hit);
-    s.pause_front(STALL_S);
-    s.pause_front(0.0);
-    let now = s.stage.now;
-    assert!(!s.stage.director.is_ejected(now, NodeId(10)), "cache 10 was ejected");
+    timed.end(first, 0, Outcome::Ok, Note::Hit);
+    timed.pause_front(STALL_S);
+    timed.pause_front(0.0);
+    let now = timed.stage.now;
+    assert!(!timed.stage.director.is_ejected(now, NodeId(10)), "cache 10 was ejected");
     for sent in attempts.iter().filter(|sent| sent.id != first.id) {
-        s.end_cancelled(&attempts);
-        s.end(*sent, 0, Outcome::Ok, Note::Hit);
+        timed.end_cancelled(&attempts);
+        timed.end(*sent, 0, Outcome::Ok, Note::Hit);
     }
-    let cancelled = attempts.iter().filter(|sent| s.is_cancelled(sent)).count();
-    assert_eq!((cancelled, s.count_refusals(100, LATER_REQUESTS)), (0, 0), "(cancelled, refused later)");
+    let cancelled = attempts.iter().filter(|sent| timed.is_cancelled(sent)).count();
+    assert_eq!((cancelled, timed.count_refusals(100, LATER_REQUESTS)), (0, 0), "(cancelled, refused later)");
 }
 
 /// Guards the health of the node and of the origin when clients' deadlines pass while the front is paused.
 #[test]
 fn client_timeouts_during_a_pause_of_the_front_cause_no_refusals() {
-    let mut s = stage(&[edge(10), origin(30)]);
-    s.stage.patience = STALL_S / 2.0;
-    let attempts = s.fetch_each(1, REQUESTS_IN_FLIGHT);
-    s.stage.patience = 5.0;
-    s.pause_front(STALL_S);
+    let mut timed = timed_stage(&[edge(10), origin(30)]);
+    timed.stage.patience = STALL_S / 2.0;
+    let attempts = timed.fetch_each(1, REQUESTS_IN_FLIGHT);
+    timed.stage.patience = 5.0;
+    timed.pause_front(STALL_S);
     for sent in &attempts {
-        s.time_out(*sent, STALL_S);
+        timed.time_out(*sent, STALL_S);
     }
-    assert_eq!(s.count_refusals(100, LATER_REQUESTS), 0);
+    assert_eq!(timed.count_refusals(100, LATER_REQUESTS), 0);
 }
 
 /// The extra wait after a stall must not delay the detection of a lost answer where there was no stall.
 #[test]
 fn a_lost_answer_is_cancelled_when_its_timer_fires_without_a_stall() {
-    let mut s = stage(&[edge(10), origin(30)]);
-    let lost = s.fetch(1);
-    let due = s.next_due().expect("a timer is set for the attempt");
-    while s.stage.now < due {
-        let other = s.fetch(2);
-        s.advance(ANSWER_GAP_S);
-        s.end(other, 0, Outcome::Ok, Note::Hit);
-    }
-    assert!(s.is_cancelled(&lost), "{:?}", s.actions);
+    let mut timed = timed_stage(&[edge(10), origin(30)]);
+    let lost = timed.fetch(1);
+    let due = timed.next_due().expect("a timer is set for the attempt");
+    while timed.stage.now < due {
+        let other = timed.fetch(2);
+        timed.advance(ANSWER_GAP_S);
+        timed.end(other, 0, Outcome::Ok, Note::Hit);
+    }
+    assert!(timed.is_cancelled(&lost), "{:?}", timed.actions);
 }
 
 /// Guards against postponing the detection for ever where each answer ends a stall and the front is too busy
 /// to run a timer before the next one.
 #[test]
 fn a_lost_answer_is_cancelled_though_each_answer_ends_a_stall() {
-    let mut s = stage(&[edge(10), origin(30)]);
-    let lost = s.fetch(1);
-    let sent_at = s.stage.now;
-    while !s.is_cancelled(&lost) {
-        assert!(s.stage.now < sent_at + 1.0, "the lost answer was not detected in 1 s");
-        let other = s.fetch(2);
-        s.stage.now += 2.0 * ANSWER_GAP_S + 0.1;
-        s.end(other, 0, Outcome::Ok, Note::Hit);
-        s.fire_due_timers();
+    let mut timed = timed_stage(&[edge(10), origin(30)]);
+    let lost = timed.fetch(1);
+    let sent_at = timed.stage.now;
+    while !timed.is_cancelled(&lost) {
+        assert!(timed.stage.now < sent_at + 1.0, "the lost answer was not detected in 1 s");
+        let other = timed.fetch(2);
+        timed.stage.now += 2.0 * ANSWER_GAP_S + 0.1;
+        timed.end(other, 0, Outcome::Ok, Note::Hit);
+        timed.fire_due_timers();
     }
 }
--- a/tests/signed.rs
+++ b/tests/signed.rs
@@ -55,19 +55,19 @@
 
 #[test]
 fn invalid_links_are_refused_before_a_cache_gets_a_request() {
-    let (t, d, ec) = (talks(), documents(), elliptic_signer());
-    let (front, served) = stage("links", &[&t, &d, &ec], same);
+    let (talks, documents, ec) = (talks(), documents(), elliptic_signer());
+    let (front, served) = stage("links", &[&talks, &documents, &ec], same);
     let path = "/talks/7.mp4";
     let with = |s: &Signer, change: &dyn Fn(&mut Value)| {
         let mut claims = s.claims(path);
         change(&mut claims);
         format!("{path}?URISigningPackage={}", s.sign(&claims))
     };
-    let set = |name: &'static str, value: Value| with(&t, &move |c| c[name] = value.clone());
-    let without = |name: &'static str| with(&t, &move |c| drop(c.as_object_mut().unwrap().remove(name)));
-    let good = t.link(path);
+    let set = |name: &'static str, value: Value| with(&talks, &move |c| c[name] = value.clone());
+    let without = |name: &'static str| with(&talks, &move |c| drop(c.as_object_mut().unwrap().remove(name)));
+    let good = talks.link(path);
     let parts: Vec<&str> = good.split('.').collect();
-    let altered = base64url(t.claims("/talks/8.mp4").to_string().as_bytes());
+    let altered = base64url(talks.claims("/talks/8.mp4").to_string().as_bytes());
     let unsigned = base64url(br#"{"alg":"none","kid":"t1"}"#);
     let critical = base64url(br#"{"alg":"HS256","kid":"t1","crit":["b64"],"b64":false}"#);
     let forged = Signer::new("t1", TALKS, b"somebody else's secret, 32 bytes");
@@ -92,13 +92,13 @@
         ("forged", forged.link(path)),
         ("unknown key", unknown.link(path)),
         ("another algorithm than the key's", confused.link(path)),
-        ("another team's key", with(&d, &|_| ())),
-        ("another team's key, with this team's name", with(&d, &|c| c["iss"] = json!(TALKS))),
+        ("another team's key", with(&documents, &|_| ())),
+        ("another team's key, with this team's name", with(&documents, &|c| c["iss"] = json!(TALKS))),
         ("another issuer's name", set("iss", json!(DOCUMENTS))),
         ("expired", set("exp", json!(unix() - 1.0))),
         ("expired, in words", set("exp", json!("tomorrow"))),
         ("not yet valid", set("nbf", json!(unix() + 30.0))),
-        ("wrong path", t.link("/talks/8.mp4").replace("8.mp4", "7.mp4")),
+        ("wrong path", talks.link("/talks/8.mp4").replace("8.mp4", "7.mp4")),
         ("wrong hash", set("cdniuc", json!(other))),
         ("part of the path", set("cdniuc", json!("regex:/talks"))),
         ("unknown container", set("cdniuc", json!(format!("plain:{path}")))),
@@ -133,16 +133,16 @@
 
 #[test]
 fn requests_with_different_tokens_share_one_copy_of_an_object() {
-    let (t, d) = (talks(), documents());
-    let (front, served) = stage("copy", &[&t, &d], same);
-    let (path, cookie) = ("/talks/7.mp4", t.sign(&t.claims("/talks/7.mp4")));
-    let mut later = t.claims(path);
+    let (talks, documents) = (talks(), documents());
+    let (front, served) = stage("copy", &[&talks, &documents], same);
+    let (path, cookie) = ("/talks/7.mp4", talks.sign(&talks.claims("/talks/7.mp4")));
+    let mut later = talks.claims(path);
     later["exp"] = json!(unix() + 90.0);
     let by_cookie =
         format!("GET {path} HTTP/1.1\r\nHost: h\r\nCookie: a=b; URISigningPackage={cookie}\r\n\r\n");
     let requests = [
-        get(&t.link(path)),
-        get(&format!("{path}?URISigningPackage={}", t.sign(&later))),
+        get(&talks.link(path)),
+        get(&format!("{path}?URISigningPackage={}", talks.sign(&later))),
         get(&format!("{path};URISigningPackage={cookie}")),
         get(&format!("{path}?utm=x&URISigningPackage={cookie}")),
         get(&format!("/talks/%37.mp4?URISigningPackage={cookie}")),
@@ -150,7 +150,7 @@
     ];
     let assets: Vec<String> = requests.iter().map(|r| get_through(&front, &served, r).2).collect();
     assert!(assets.iter().all(|a| *a == assets[0]), "{assets:?}");
-    assert_ne!(get_through(&front, &served, &get(&t.link("/talks/8.mp4"))).2, assets[0]);
+    assert_ne!(get_through(&front, &served, &get(&talks.link("/talks/8.mp4"))).2, assets[0]);
     // The token is checked on each request, also for a cached object.
     assert_eq!(front.get(path).0, 401);
 }
@@ -160,8 +160,8 @@
     let (old, new) = (talks(), Signer::new("t1", TALKS, b"the talks team's 2nd secret, 32b"));
     // The first transfer stays in flight while files are written and read; a long deadline keeps a slow disk
     // from ending it.
-    let (front, served) = stage("rotation", &[&old], |t| {
-        t.replace("overlap_s = 300", "overlap_s = 1000").replacen("deadline = 5.0", "deadline = 60.0", 1)
+    let (front, served) = stage("rotation", &[&old], |text| {
+        text.replace("overlap_s = 300", "overlap_s = 1000").replacen("deadline = 5.0", "deadline = 60.0", 1)
     });
     let path = "/talks/7.mp4";
     let mut claims = old.claims(path);
@@ -222,12 +222,12 @@
 
 #[test]
 fn validation_ranges_deadlines_and_refusals_have_their_status_codes() {
-    let (t, d) = (talks(), documents());
-    let (front, served) = stage("answers", &[&t, &d], |text| {
+    let (talks, documents) = (talks(), documents());
+    let (front, served) = stage("answers", &[&talks, &documents], |text| {
         let text = text.replace("deadline = 5.0", "deadline = 0.5");
         text.replace("semantics = \"deduplicated\"", "semantics = \"at_most_once\"")
     });
-    let link = t.link("/talks/7.mp4");
+    let link = talks.link("/talks/7.mp4");
     // The client's copy is current. From here on the object is believed held, so it is requested even if the
     // origin fails.
     let valid = get(&link).replace("Host: h", "Host: h\r\nIf-None-Match: \"e1\"");
@@ -298,14 +298,14 @@
 /// and is not sent again.
 #[test]
 fn a_write_that_may_have_run_fails_and_is_not_retried() {
-    let (d, path) = (documents(), "/documents/holds/9");
+    let (documents, path) = (documents(), "/documents/holds/9");
     let (origin, served) = cache_node();
     let (server, asked) = discovery(vec![("standard", origin), ("origin", origin)]);
-    let front = Front::start("writes", &[&d], server, |t| {
-        t.replace("semantics = \"deduplicated\"", "semantics = \"at_most_once\"")
+    let front = Front::start("writes", &[&documents], server, |text| {
+        text.replace("semantics = \"deduplicated\"", "semantics = \"at_most_once\"")
     });
     (0..6).for_each(|_| drop(asked.recv_timeout(PATIENCE).unwrap()));
-    let post = format!("POST {} HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nhold", d.link(path));
+    let post = format!("POST {} HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nhold", documents.link(path));
     let mut stream = front.send(&post);
     let write = next(&served);
     assert_eq!((&*write.body, write.field("keep")), (&b"hold"[..], None));
@@ -313,34 +313,34 @@
     assert_eq!(status(read_message(&mut stream)).0, 502);
     assert!(served.try_recv().is_err(), "the write is sent again");
     // The class requires POST, so its links are refused for GET.
-    assert_eq!(front.get(&d.link(path)).0, 405);
+    assert_eq!(front.get(&documents.link(path)).0, 405);
 }
 
 #[test]
 fn team_budgets_are_separate_and_refusals_have_a_retry_after() {
-    let (t, d) = (talks(), documents());
-    let (front, served) = stage("budgets", &[&t, &d], |text| {
+    let (talks, documents) = (talks(), documents());
+    let (front, served) = stage("budgets", &[&talks, &documents], |text| {
         text.replace("requests_per_s = 200\nin_flight = 64", "requests_per_s = 0.01\nin_flight = 64")
             .replace("requests_per_s = 50\nin_flight = 16", "requests_per_s = 50\nin_flight = 1")
     });
-    assert_eq!(get_through(&front, &served, &get(&t.link("/talks/7.mp4"))).0, 200);
-    let (code, head, _) = front.get(&t.link("/talks/7.mp4"));
+    assert_eq!(get_through(&front, &served, &get(&talks.link("/talks/7.mp4"))).0, 200);
+    let (code, head, _) = front.get(&talks.link("/talks/7.mp4"));
     let wait = head.lines().find_map(|l| l.strip_prefix("Retry-After: ")).and_then(|w| w.parse::<u32>().ok());
     assert!(code == 429 && wait.is_some_and(|w| w > 60 && w <= 100), "{head}");
     // The other team has a budget of its own, here one request at a time.
-    let mut first = front.send(&get(&d.link("/documents/1")));
+    let mut first = front.send(&get(&documents.link("/documents/1")));
     let mut held = next(&served);
-    assert_eq!(front.get(&d.link("/documents/2")).0, 429);
+    assert_eq!(front.get(&documents.link("/documents/2")).0, 429);
     held.hit(b"done");
     assert_eq!(status(read_message(&mut first)).0, 200);
-    assert_eq!(get_through(&front, &served, &get(&d.link("/documents/2"))).0, 200);
+    assert_eq!(get_through(&front, &served, &get(&documents.link("/documents/2"))).0, 200);
 }
 
 #[test]
 fn malformed_and_oversized_messages_get_an_error_and_a_close() {
-    let t = talks();
-    let (front, served) = stage("messages", &[&t], same);
-    let link = t.link("/talks/7.mp4");
+    let talks = talks();
+    let (front, served) = stage("messages", &[&talks], same);
+    let link = talks.link("/talks/7.mp4");
     let post = |fields: &str| format!("POST {link} HTTP/1.1\r\nHost: h\r\n{fields}\r\n");
     for (text, code) in [
         ("hello\r\n\r\n".to_owned(), 400),
@@ -367,10 +367,10 @@
 /// Guards against a crash of a front that runs without any known node: it refuses requests.
 #[test]
 fn without_discovery_requests_are_refused() {
-    let t = talks();
-    let nobody: SocketAddr = "127.0.0.1:9".parse().unwrap();
-    let front = Front::start("alone", &[&t], nobody, same);
-    let (code, head, _) = front.get(&t.link("/talks/7.mp4"));
+    let talks = talks();
+    let unreachable: SocketAddr = "127.0.0.1:9".parse().unwrap();
+    let front = Front::start("alone", &[&talks], unreachable, same);
+    let (code, head, _) = front.get(&talks.link("/talks/7.mp4"));
     assert!(code == 503 && head.contains("Retry-After"), "{head}");
 }
 
@@ -378,9 +378,9 @@
 /// after it, so a request that it sends meanwhile is answered too.
 #[test]
 fn sigterm_closes_no_connection_with_an_unread_answer() {
-    let t = talks();
-    let (front, served) = stage("unread-end", &[&t], same);
-    let link = get(&t.link("/talks/7.mp4"));
+    let talks = talks();
+    let (front, served) = stage("unread-end", &[&talks], same);
+    let link = get(&talks.link("/talks/7.mp4"));
     let mut idle = front.send(&get("/talks/unsigned"));
     assert_eq!(status(read_message(&mut idle)).0, 401);
     let mut slow = narrow(front.address);
