--- a/src/signed/connection.rs
+++ b/src/signed/connection.rs
@@ -1,6 +1,7 @@
-//! The task of one connection of the second front: heads, bodies, the core's answers, and how it ends.
+//! One client connection of the signed-link listener: reads requests, passes them to the broker, writes the
+//! answers, and closes the connection.
 
-use super::{Admitted, BUSY, Front, Rejection, WHOLE_HEAD, http};
+use super::{AdmissionResult, COMPLETE_HEAD_OWNER, Front, OUT_OF_MEMORY, Rejection, http};
 use crate::broker::{Answer, Caller, ClientRequest, Content, Input};
 use crate::clock;
 use crate::memory::{AccountOwner, Grant, MemoryRefusal, Purpose};
@@ -8,7 +9,7 @@
     Buffer, ClientSocket, ConnectionSlot, DELIVERY_CHECK_INTERVAL, Delivery, Output, PEER_CHECK_INTERVAL,
     READ_CHUNK_BYTES, SendState, linger, peer_has_closed, readable_within_window,
 };
-use http::Unusable;
+use http::MessageError;
 use std::io;
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,24 +17,25 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio::time::{Instant, sleep_until};
 
-/// Most bytes of a body; what the caches' wire takes.
-const BODY: usize = 48_000;
-/// A head, or a body, must be whole this long after its first byte (seconds).
-const WHOLE: f64 = 10.0;
-/// A connection between requests, or one that takes nothing of its answer, is closed after this (seconds).
-const IDLE: f64 = 20.0;
-/// What a header line takes beside its text (bytes).
-const FIELD: usize = 2 * size_of::<String>();
+/// Maximum size of a request body; the protocol of the cache nodes accepts no more.
+const MAX_BODY_BYTES: usize = 48_000;
+/// Maximum time for a head, from its first byte, and for a body, from the end of its head (seconds).
+const MESSAGE_TIMEOUT_S: f64 = 10.0;
+/// Time after which a connection without a request, or one whose client reads nothing of its answer, is
+/// closed (seconds).
+const IDLE_TIMEOUT_S: f64 = 20.0;
+/// Memory that a header field takes in addition to its text.
+const FIELD_OVERHEAD_BYTES: usize = 2 * size_of::<String>();
 
-/// A connection of the second front.
+/// A client connection of the signed-link listener.
 pub(super) struct Connection {
     front: Rc<Front>,
     socket: Rc<ClientSocket>,
     slot: ConnectionSlot,
     number: u64,
     tag: u64,
-    /// A whole head has come from the client.
-    spoken: bool,
+    /// Whether the client has sent a complete head.
+    head_received: bool,
     reply: UnboundedSender<(u64, Answer)>,
     answers: UnboundedReceiver<(u64, Answer)>,
     input: Buffer,
@@ -61,7 +63,7 @@
             slot,
             number,
             tag: 0,
-            spoken: false,
+            head_received: false,
             reply,
             answers,
             input,
@@ -72,13 +74,13 @@
 
     pub(super) async fn serve(mut self) -> io::Result<()> {
         self.socket.set_nodelay(true)?;
-        let ended = self.requests().await;
-        if ended.is_ok() {
-            // Its place in memory is somebody else's from now on; what is still unsent keeps its own.
+        let result = self.serve_requests().await;
+        if result.is_ok() {
+            // The connection's own memory is released before the linger; unsent data keeps its own grants.
             self.grant.shrink(usize::MAX);
             linger(&self.socket, &self.slot, &mut self.output).await;
         }
-        match ended {
+        match result {
             Err(e) if matches!(e.kind(), io::ErrorKind::ConnectionReset | io::ErrorKind::BrokenPipe) => {
                 Ok(())
             }
@@ -86,18 +88,18 @@
         }
     }
 
-    /// Serves one request after the other.
-    async fn requests(&mut self) -> io::Result<()> {
+    /// Serves requests one after the other until the connection is to be closed.
+    async fn serve_requests(&mut self) -> io::Result<()> {
         loop {
-            match self.head().await? {
+            match self.read_head().await? {
                 Some(Ok(request)) => {
                     if !self.serve_request(&request).await? {
                         return Ok(());
                     }
                 }
-                Some(Err(Unusable(status))) => {
-                    // Where it ends is unknown, so that nothing after it can be read.
-                    self.say(status, &[("Connection", "close")], "the message cannot be taken", false);
+                Some(Err(MessageError(status))) => {
+                    // The end of an invalid message is unknown, so nothing after it can be read.
+                    self.write_text(status, &[("Connection", "close")], "the message cannot be taken", false);
                     return self.flush().await;
                 }
                 None => return Ok(()),
@@ -105,86 +107,95 @@
         }
     }
 
-    /// Serves one request; is another to be read from the connection?
+    /// Serves one request. Returns whether another may be read from the connection.
     async fn serve_request(&mut self, request: &http::Request) -> io::Result<bool> {
         let arrived = clock::now();
-        // What was read of its head is held while it is served.
-        let text = request.fields.iter().map(|(name, value)| name.len() + value.len() + FIELD).sum::<usize>();
-        let held = self.front.memory.acquire(WHOLE_HEAD, text + 2 * request.target.len());
-        let admitted = match &held {
-            Ok(_) => self.front.admit(arrived, request).and_then(|ask| self.hold(ask, request.length)),
-            Err(_) => Err(BUSY),
+        // The parsed head stays in memory while the request is served, and is accounted for.
+        let text = request
+            .fields
+            .iter()
+            .map(|(name, value)| name.len() + value.len() + FIELD_OVERHEAD_BYTES)
+            .sum::<usize>();
+        let head_grant = self.front.memory.acquire(COMPLETE_HEAD_OWNER, text + 2 * request.target.len());
+        let admission = match &head_grant {
+            Ok(_) => self
+                .front
+                .admit(arrived, request)
+                .and_then(|client_request| self.reserve_memory(client_request, request.body_length)),
+            Err(_) => Err(OUT_OF_MEMORY),
         };
-        let keep = request.keep && (admitted.is_ok() || request.length == 0);
-        let end = if keep { ("Connection", "keep-alive") } else { ("Connection", "close") };
-        match admitted {
-            Err(rejection) => self.reject(&rejection, end, request.method == "HEAD"),
-            Ok(mut ask) => {
-                if !self.body(request, &mut ask, arrived).await? {
+        let keep_alive = request.keep_alive && (admission.is_ok() || request.body_length == 0);
+        let connection_field =
+            if keep_alive { ("Connection", "keep-alive") } else { ("Connection", "close") };
+        match admission {
+            Err(rejection) => self.write_rejection(&rejection, connection_field, request.method == "HEAD"),
+            Ok(mut client_request) => {
+                if !self.read_body(request, &mut client_request, arrived).await? {
                     return Ok(false);
                 }
-                let deadline = ask.deadline;
-                let Some(mut answer) = self.ask(ask).await? else { return Ok(false) };
-                // What the core gave up on since its time was over is told as that.
+                let deadline = client_request.deadline;
+                let Some(mut answer) = self.call_broker(client_request).await? else { return Ok(false) };
+                // A request that the broker abandoned at its deadline is answered with 504.
                 if matches!(answer, Answer::Refused(_) | Answer::Failed) && clock::now() >= deadline {
                     answer = Answer::DeadlineExceeded;
                 }
-                self.answer(answer, request, end);
+                self.write_answer(answer, request, connection_field);
             }
         }
         self.flush().await?;
-        Ok(keep)
+        Ok(keep_alive)
     }
 
-    /// Reads a request's body; `false` if the client has gone, or is too slow. Its memory is granted: it is moved there as
-    /// it comes, and needs no room in the buffer.
-    async fn body(
+    /// Reads a request's body. Returns `false` if the client has closed or is too slow. The body's memory is
+    /// already granted: bytes are moved there as they arrive and take no space in the input buffer.
+    async fn read_body(
         &mut self,
         request: &http::Request,
-        ask: &mut ClientRequest,
+        client_request: &mut ClientRequest,
         arrived: f64,
     ) -> io::Result<bool> {
-        if request.expects {
+        if request.expects_continue {
             self.output.push(b"HTTP/1.1 100 Continue\r\n\r\n");
             self.flush().await?;
         }
-        let by = clock::instant(arrived + WHOLE);
-        ask.body = Vec::with_capacity(request.length);
+        let deadline = clock::instant(arrived + MESSAGE_TIMEOUT_S);
+        client_request.body = Vec::with_capacity(request.body_length);
         loop {
-            let here = self.input.len().min(request.length - ask.body.len());
-            ask.body.extend_from_slice(&self.input.bytes()[..here]);
-            self.input.consume(here);
-            if ask.body.len() == request.length {
+            let buffered = self.input.len().min(request.body_length - client_request.body.len());
+            client_request.body.extend_from_slice(&self.input.bytes()[..buffered]);
+            self.input.consume(buffered);
+            if client_request.body.len() == request.body_length {
                 return Ok(true);
             }
-            if !self.fill(by).await? {
+            if !self.read_before(deadline).await? {
                 return Ok(false);
             }
         }
     }
 
-    /// Answers a request that the core does not hear of.
-    fn reject(&mut self, rejection: &Rejection, end: (&str, &str), bare: bool) {
-        let challenge = [end, ("WWW-Authenticate", "URISigningPackage")];
+    /// Answers a request that is not passed to the broker.
+    fn write_rejection(&mut self, rejection: &Rejection, connection_field: (&str, &str), head_only: bool) {
+        let challenge = [connection_field, ("WWW-Authenticate", "URISigningPackage")];
         let wait = format!("{}", self.front.wait.max(1.0).ceil());
-        let later = [end, ("Retry-After", &*wait)];
+        let retry_later = [connection_field, ("Retry-After", &*wait)];
         let fields = match rejection.status {
             401 => &challenge[..],
-            503 => &later[..],
+            503 => &retry_later[..],
             _ => &challenge[..1],
         };
-        self.say(rejection.status, fields, rejection.why, bare);
+        self.write_text(rejection.status, fields, rejection.reason, head_only);
     }
 
-    /// Reads until a head is whole; `None` if the client has gone, or never began.
-    async fn head(&mut self) -> io::Result<Option<Result<http::Request, Unusable>>> {
-        let mut by = clock::instant(clock::now() + IDLE);
+    /// Reads until a head is complete. Returns `None` if the client closed, or sent nothing before the
+    /// timeout.
+    async fn read_head(&mut self) -> io::Result<Option<Result<http::Request, MessageError>>> {
+        let mut deadline = clock::instant(clock::now() + IDLE_TIMEOUT_S);
         let mut begun = false;
         loop {
-            match http::request(self.input.bytes(), BODY) {
+            match http::request(self.input.bytes(), MAX_BODY_BYTES) {
                 Ok(Some((request, used))) => {
                     self.input.consume(used);
-                    self.spoken = true;
+                    self.head_received = true;
                     self.slot.mark_active();
                     return Ok(Some(Ok(request)));
                 }
@@ -192,77 +203,85 @@
                 Err(e) => return Ok(Some(Err(e))),
             }
             if !begun && !self.input.is_empty() {
-                (begun, by) = (true, clock::instant(clock::now() + WHOLE));
+                (begun, deadline) = (true, clock::instant(clock::now() + MESSAGE_TIMEOUT_S));
             }
-            let more = match self.fill_between_requests(by).await {
-                // Half a head that may not grow.
-                Err(e) if e.kind() == io::ErrorKind::OutOfMemory => return Ok(Some(Err(Unusable(503)))),
+            let more = match self.read_between_requests(deadline).await {
+                // The buffer of a partial head cannot grow.
+                Err(e) if e.kind() == io::ErrorKind::OutOfMemory => return Ok(Some(Err(MessageError(503)))),
                 more => more?,
             };
             if !more {
-                let late = begun && Instant::now() >= by;
-                return Ok(late.then_some(Err(Unusable(408))));
+                let late = begun && Instant::now() >= deadline;
+                return Ok(late.then_some(Err(MessageError(408))));
             }
         }
     }
 
-    /// Reads once while nothing is owed; `false` at the end of the stream or of the time, or if the connection is to close.
-    async fn fill_between_requests(&mut self, mut by: Instant) -> io::Result<bool> {
-        let mut was_unsent = false;
-        // It is not closed before, since the client is to acknowledge by then what it was sent just now.
-        let mut acknowledged_by = Instant::now();
-        let half_a_head = !self.input.is_empty();
+    /// Reads once while no request is in service. Returns `false` at the end of the stream, at the deadline,
+    /// or if the connection is to be closed.
+    async fn read_between_requests(&mut self, mut deadline: Instant) -> io::Result<bool> {
+        let mut was_send_blocked = false;
+        // Not closed before this time: the client still has to acknowledge what was just sent.
+        let mut delivery_check_at = Instant::now();
+        let partial_head = !self.input.is_empty();
         loop {
             let now = clock::now();
-            let unsent = self.slot.is_send_blocked();
-            if !half_a_head && unsent != was_unsent {
-                // An end is seen only by a client that took its answer: until then it has longer, and then a whole time.
-                by = if unsent { by + Duration::from_secs_f64(IDLE) } else { clock::instant(now + IDLE) };
+            let send_blocked = self.slot.is_send_blocked();
+            if !partial_head && send_blocked != was_send_blocked {
+                // A client sees the close only once it has read its answer: until then the timeout is
+                // extended, and afterwards it starts anew.
+                deadline = if send_blocked {
+                    deadline + Duration::from_secs_f64(IDLE_TIMEOUT_S)
+                } else {
+                    clock::instant(now + IDLE_TIMEOUT_S)
+                };
             }
-            was_unsent = unsent;
-            match unsent {
+            was_send_blocked = send_blocked;
+            match send_blocked {
                 true => self.slot.mark_active(),
-                false => self.slot.mark_idle(now, self.spoken, half_a_head),
+                false => self.slot.mark_idle(now, self.head_received, partial_head),
             }
-            if !unsent && !half_a_head {
-                by = by.max(clock::instant(self.slot.idle_since() + IDLE));
+            if !send_blocked && !partial_head {
+                deadline = deadline.max(clock::instant(self.slot.idle_since() + IDLE_TIMEOUT_S));
             }
-            // Half a head is waited for, where there is no other in need of the place.
-            let waits = half_a_head && self.slot.is_closing_all();
-            let closes_at = self.slot.closes_at().filter(|_| !waits);
+            // When all connections are being closed, no other client needs the slot: a partial head is
+            // awaited.
+            let awaits_head = partial_head && self.slot.is_closing_all();
+            let closes_at = self.slot.closes_at().filter(|_| !awaits_head);
             let closing_at = clock::instant(closes_at.unwrap_or_default());
             tokio::select! {
                 biased;
                 ready = self.socket.readable() => {
                     ready?;
                     self.slot.mark_active();
-                    return self.read();
+                    return self.read_available();
                 }
-                changed = self.socket.delivery_changed(), if unsent => changed?,
-                () = self.slot.changed(), if !unsent => {}
-                () = sleep_until(closing_at.max(acknowledged_by)), if closes_at.is_some() => {
+                changed = self.socket.delivery_changed(), if send_blocked => changed?,
+                () = self.slot.changed(), if !send_blocked => {}
+                () = sleep_until(closing_at.max(delivery_check_at)), if closes_at.is_some() => {
                     match self.socket.delivery() {
-                        // What it was sent only just now, it has as long to read as any other.
+                        // Counts from the last send, so that a client has its full time to read a recent
+                        // answer.
                         Delivery::Delivered if self.slot.postpone_to_last_sent() => {}
-                        // One that is asked to close just as its request comes serves that first.
+                        // A request that arrives together with the close request is served first.
                         Delivery::Delivered if readable_within_window(&self.socket).await => {
                             self.slot.mark_active();
-                            return self.read();
+                            return self.read_available();
                         }
                         Delivery::Delivered => return Ok(false),
-                        Delivery::InFlight => acknowledged_by = Instant::now() + DELIVERY_CHECK_INTERVAL,
-                        // Its client could not see an end.
+                        Delivery::InFlight => delivery_check_at = Instant::now() + DELIVERY_CHECK_INTERVAL,
+                        // The client has not received all data and could not see the close yet.
                         Delivery::Unsent | Delivery::Undelivered => {}
                     }
                 }
-                () = sleep_until(by.max(acknowledged_by)) => {
-                    if unsent || half_a_head {
+                () = sleep_until(deadline.max(delivery_check_at)) => {
+                    if send_blocked || partial_head {
                         return Ok(false);
                     }
                     match self.socket.delivery() {
                         Delivery::Delivered if self.slot.postpone_to_last_sent() => {}
                         Delivery::Delivered => return Ok(false),
-                        Delivery::InFlight => acknowledged_by = Instant::now() + DELIVERY_CHECK_INTERVAL,
+                        Delivery::InFlight => delivery_check_at = Instant::now() + DELIVERY_CHECK_INTERVAL,
                         Delivery::Unsent | Delivery::Undelivered => {}
                     }
                 }
@@ -270,18 +289,18 @@
         }
     }
 
-    /// Reads once; `false` at the end of the stream or of the time.
-    async fn fill(&mut self, by: Instant) -> io::Result<bool> {
+    /// Waits for input and reads once. Returns `false` at the end of the stream or at the deadline.
+    async fn read_before(&mut self, deadline: Instant) -> io::Result<bool> {
         tokio::select! {
             biased;
             ready = self.socket.readable() => ready?,
-            () = sleep_until(by) => return Ok(false),
+            () = sleep_until(deadline) => return Ok(false),
         }
-        self.read()
+        self.read_available()
     }
 
-    /// Reads what is there; `false` at the end of the stream.
-    fn read(&mut self) -> io::Result<bool> {
+    /// Reads available input without waiting. Returns `false` at the end of the stream.
+    fn read_available(&mut self) -> io::Result<bool> {
         match self.input.read_from(&self.socket) {
             Ok(n) => Ok(n > 0),
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => Ok(true),
@@ -289,17 +308,17 @@
         }
     }
 
-    /// Hands the request to the core and waits for its answer; `None` if the client left before.
-    async fn ask(&mut self, ask: ClientRequest) -> io::Result<Option<Answer>> {
+    /// Passes the request to the broker and waits for its answer. Returns `None` if the client closed before.
+    async fn call_broker(&mut self, client_request: ClientRequest) -> io::Result<Option<Answer>> {
         self.tag += 1;
         let caller = Caller { connection: self.number, tag: self.tag };
-        let ended = |_| io::Error::other("the broker has ended");
-        let gone = ask.cancelled.clone();
-        let input = Input::Request { caller, request: ask.into(), reply: self.reply.clone() };
-        self.front.asks.send(input).await.map_err(ended)?;
+        let broker_ended = |_| io::Error::other("the broker has ended");
+        let cancelled = client_request.cancelled.clone();
+        let input = Input::Request { caller, request: client_request.into(), reply: self.reply.clone() };
+        self.front.asks.send(input).await.map_err(broker_ended)?;
         loop {
-            let reads = self.input.len() < READ_CHUNK_BYTES;
-            let left = tokio::select! {
+            let may_read = self.input.len() < READ_CHUNK_BYTES;
+            let client_closed = tokio::select! {
                 biased;
                 Some((tag, answer)) = self.answers.recv() => {
                     if tag == self.tag {
@@ -307,92 +326,109 @@
                     }
                     false
                 }
-                ready = self.socket.ready(Interest::READABLE), if reads => match ready {
+                ready = self.socket.ready(Interest::READABLE), if may_read => match ready {
                     Ok(ready) if ready.is_read_closed() => true,
                     ready => match ready.and_then(|_| self.input.read_from(&self.socket)) {
                         Ok(n) => n == 0,
                         Err(e) => e.kind() != io::ErrorKind::WouldBlock,
                     },
                 },
-                // Its end is seen behind what it has sent ahead.
-                () = sleep_until(clock::instant(clock::now() + PEER_CHECK_INTERVAL)), if !reads => peer_has_closed(&self.socket).await?,
+                // The buffer is full of pipelined input: the client's close is detected behind it.
+                () = sleep_until(clock::instant(clock::now() + PEER_CHECK_INTERVAL)), if !may_read =>
+                    peer_has_closed(&self.socket).await?,
             };
-            if left {
-                gone.set(true);
-                self.front.asks.send(Input::Abort(caller)).await.map_err(ended)?;
+            if client_closed {
+                cancelled.set(true);
+                self.front.asks.send(Input::Abort(caller)).await.map_err(broker_ended)?;
                 return Ok(None);
             }
         }
     }
 
-    /// Takes memory for a request and its body; what does not fit is refused before its body is read.
-    fn hold(&self, mut ask: ClientRequest, body: usize) -> Admitted {
-        let rules = self.front.classes.get(usize::from(ask.class.0));
-        let held = ask.reserve_memory(&self.front.memory, rules.is_some_and(|c| c.uncacheable), body);
-        held.map_err(|MemoryRefusal { .. }| BUSY).map(|()| ask)
+    /// Reserves memory for a request and its body. A request that does not fit is refused before its body is
+    /// read.
+    fn reserve_memory(&self, mut client_request: ClientRequest, body: usize) -> AdmissionResult {
+        let rules = self.front.classes.get(usize::from(client_request.class.0));
+        let reserved =
+            client_request.reserve_memory(&self.front.memory, rules.is_some_and(|c| c.uncacheable), body);
+        reserved.map_err(|MemoryRefusal { .. }| OUT_OF_MEMORY).map(|()| client_request)
     }
 
-    fn answer(&mut self, answer: Answer, request: &http::Request, end: (&str, &str)) {
-        let bare = request.method == "HEAD";
+    fn write_answer(&mut self, answer: Answer, request: &http::Request, connection_field: (&str, &str)) {
+        let head_only = request.method == "HEAD";
         let seconds = |wait: f64| format!("{}", wait.max(1.0).ceil());
         match answer {
-            Answer::Served(content) => self.served(content, request, end),
+            Answer::Served(content) => self.write_content(content, request, connection_field),
             Answer::Refused(wait) => {
-                self.say(503, &[end, ("Retry-After", &seconds(wait))], "busy; try again", bare);
+                self.write_text(
+                    503,
+                    &[connection_field, ("Retry-After", &seconds(wait))],
+                    "busy; try again",
+                    head_only,
+                );
             }
             Answer::OverBudget(wait) => {
-                self.say(429, &[end, ("Retry-After", &seconds(wait))], "the team's budget is spent", bare);
+                self.write_text(
+                    429,
+                    &[connection_field, ("Retry-After", &seconds(wait))],
+                    "the team's budget is spent",
+                    head_only,
+                );
+            }
+            Answer::Forbidden => {
+                self.write_text(403, &[connection_field], "no contract covers the request", head_only)
+            }
+            Answer::Failed => self.write_text(502, &[connection_field], "the caches failed", head_only),
+            Answer::DeadlineExceeded => {
+                self.write_text(504, &[connection_field], "no answer in time", head_only)
             }
-            Answer::Forbidden => self.say(403, &[end], "no contract covers the request", bare),
-            Answer::Failed => self.say(502, &[end], "the caches failed", bare),
-            Answer::DeadlineExceeded => self.say(504, &[end], "no answer in time", bare),
         }
     }
 
-    /// The object, or the part of its bytes that was asked for.
-    fn served(&mut self, content: Content, request: &http::Request, end: (&str, &str)) {
+    /// Writes the object, or the requested range of its bytes.
+    fn write_content(&mut self, content: Content, request: &http::Request, connection_field: (&str, &str)) {
         let etag = format!("\"{}\"", content.etag);
-        // Only the holder of a valid link may have it; no cache between may keep it for others.
-        let mut fields = vec![end, ("Cache-Control", "private"), ("Accept-Ranges", "bytes")];
+        // Only the holder of a valid link may receive the object: shared caches must not store it.
+        let mut fields = vec![connection_field, ("Cache-Control", "private"), ("Accept-Ranges", "bytes")];
         if !content.etag.is_empty() {
             fields.push(("ETag", &etag));
         }
         let length = content.body.len();
-        // A range of another version than the client's is of no use to it: the whole is sent.
-        let same = request.field("if-range").is_none_or(|tag| tag == etag);
-        let asked = request.field("range").filter(|_| request.method == "GET" && same);
-        let (status, part, place) = match asked.and_then(|r| http::range(r, length)) {
+        // If `If-Range` names another version, the whole object is sent.
+        let same_version = request.field("if-range").is_none_or(|tag| tag == etag);
+        let range_field = request.field("range").filter(|_| request.method == "GET" && same_version);
+        let (status, range, content_range) = match range_field.and_then(|r| http::parse_range(r, length)) {
             _ if content.not_modified => (304, 0..0, None),
             None => (200, 0..length, None),
             Some(Ok(r)) => (206, r.clone(), Some(format!("bytes {}-{}/{length}", r.start, r.end - 1))),
             Some(Err(())) => (416, 0..0, Some(format!("bytes */{length}"))),
         };
-        if let Some(place) = &place {
-            fields.push(("Content-Range", place));
+        if let Some(content_range) = &content_range {
+            fields.push(("Content-Range", content_range));
         }
-        http::respond(&mut self.output, status, &fields, part.len());
+        http::write_head(&mut self.output, status, &fields, range.len());
         if request.method != "HEAD" {
-            self.output.push_body(content.body, part, content.grant, f64::INFINITY);
+            self.output.push_body(content.body, range, content.grant, f64::INFINITY);
         }
     }
 
-    /// An answer of a line of text.
-    fn say(&mut self, status: u16, fields: &[(&str, &str)], text: &str, bare: bool) {
-        let mut all = vec![("Content-Type", "text/plain"), ("Cache-Control", "no-store")];
-        all.extend(fields);
-        http::respond(&mut self.output, status, &all, text.len() + 1);
-        if !bare {
+    /// Writes an answer with one line of text as its body.
+    fn write_text(&mut self, status: u16, fields: &[(&str, &str)], text: &str, head_only: bool) {
+        let mut all_fields = vec![("Content-Type", "text/plain"), ("Cache-Control", "no-store")];
+        all_fields.extend(fields);
+        http::write_head(&mut self.output, status, &all_fields, text.len() + 1);
+        if !head_only {
             self.output.push(text.as_bytes());
             self.output.push(b"\n");
         }
     }
 
-    /// Writes all that is to be written; a client that takes nothing for long is dropped.
+    /// Writes all pending output. A client that reads nothing for the idle timeout is disconnected.
     async fn flush(&mut self) -> io::Result<()> {
-        let mut by = clock::instant(clock::now() + IDLE);
+        let mut deadline = clock::instant(clock::now() + IDLE_TIMEOUT_S);
         loop {
             if self.output.write_to(&self.socket)? > 0 {
-                by = clock::instant(clock::now() + IDLE);
+                deadline = clock::instant(clock::now() + IDLE_TIMEOUT_S);
             }
             if self.output.is_empty() {
                 return Ok(());
@@ -400,7 +436,7 @@
             tokio::select! {
                 biased;
                 ready = self.socket.ready(Interest::WRITABLE) => { ready?; }
-                () = sleep_until(by) => return Err(io::ErrorKind::TimedOut.into()),
+                () = sleep_until(deadline) => return Err(io::ErrorKind::TimedOut.into()),
             }
         }
     }
