--- a/crates/rollout/src/journal.rs
+++ b/crates/rollout/src/journal.rs
@@ -1,6 +1,6 @@
-//! The journal: one line a record, each with its checksum, on disk before what it tells is done. A line that was torn by
-//! a crash is the last one, and counts for nothing; anything else that does not read is an error. The lease keeps a
-//! second tool away.
+//! The journal: one record per line, each with a checksum, on disk before the recorded action is taken. A
+//! last line that a crash cut off is ignored; any other invalid line is an error. The lease excludes a second
+//! driver of the same rollout.
 
 use anyhow::{Context, Result, bail};
 use onyxyoke::rollout::Record;
@@ -8,104 +8,105 @@
 use std::io::{Read, Seek, SeekFrom, Write};
 use std::path::{Path, PathBuf};
 
-/// Reads one line, without its end.
-fn line(bytes: &[u8]) -> Option<Record> {
+/// Parses one line without its line end. Returns `None` if the checksum or the record is invalid.
+fn parse_line(bytes: &[u8]) -> Option<Record> {
     let text = std::str::from_utf8(bytes).ok()?;
     let (sum, json) = text.split_once(' ')?;
-    let right = u32::from_str_radix(sum, 16).ok()? == crc32fast::hash(json.as_bytes());
-    right.then(|| serde_json::from_str(json).ok())?
+    let checksum_matches = u32::from_str_radix(sum, 16).ok()? == crc32fast::hash(json.as_bytes());
+    checksum_matches.then(|| serde_json::from_str(json).ok())?
 }
 
-/// Reads all records, and how many bytes of the file they are.
-pub fn read(bytes: &[u8]) -> Result<(Vec<Record>, u64)> {
-    let (mut records, mut good) = (Vec::new(), 0);
+/// Parses all records. Returns them and the number of bytes that they take in the file.
+pub fn parse_records(bytes: &[u8]) -> Result<(Vec<Record>, u64)> {
+    let (mut records, mut valid_bytes) = (Vec::new(), 0);
     let mut rest = bytes;
     while let Some(end) = rest.iter().position(|b| *b == b'\n') {
-        let Some(record) = line(&rest[..end]) else {
-            // Whole lines follow a line that was written whole: only the last may be torn.
+        let Some(record) = parse_line(&rest[..end]) else {
+            // Only the last line can be cut off: each write appends after complete lines.
             if rest[end + 1..].contains(&b'\n') {
-                bail!("line {} does not read", records.len() + 1);
+                bail!("line {} is invalid", records.len() + 1);
             }
             break;
         };
         records.push(record);
         rest = &rest[end + 1..];
-        good += end as u64 + 1;
+        valid_bytes += end as u64 + 1;
     }
-    Ok((records, good))
+    Ok((records, valid_bytes))
 }
 
-/// The file, open to append.
+/// The journal's file, open for appending.
 pub struct Journal {
     file: File,
-    end: u64,
-    /// What could not be written yet.
-    waiting: Vec<u8>,
+    durable_bytes: u64,
+    /// Lines that are not on disk yet.
+    unsynced: Vec<u8>,
 }
 
 impl Journal {
-    /// Opens it, without what was torn, and gives its records.
+    /// Opens the journal, truncates a last line that was cut off, and returns its records.
     pub fn open(path: &Path) -> Result<(Journal, Vec<Record>)> {
-        let what = || format!("the journal '{}'", path.display());
+        let description = || format!("the journal '{}'", path.display());
         let mut file = OpenOptions::new()
             .read(true)
             .write(true)
             .create(true)
             .truncate(false)
             .open(path)
-            .with_context(what)?;
+            .with_context(description)?;
         let mut bytes = Vec::new();
-        file.read_to_end(&mut bytes).with_context(what)?;
-        let (records, end) = read(&bytes).with_context(what)?;
-        file.set_len(end).with_context(what)?;
-        file.seek(SeekFrom::Start(end)).with_context(what)?;
-        file.sync_all().with_context(what)?;
-        Ok((Journal { file, end, waiting: Vec::new() }, records))
+        file.read_to_end(&mut bytes).with_context(description)?;
+        let (records, durable_bytes) = parse_records(&bytes).with_context(description)?;
+        file.set_len(durable_bytes).with_context(description)?;
+        file.seek(SeekFrom::Start(durable_bytes)).with_context(description)?;
+        file.sync_all().with_context(description)?;
+        Ok((Journal { file, durable_bytes, unsynced: Vec::new() }, records))
     }
 
-    /// Takes a record; it is on disk once `sync` says so.
+    /// Appends a record to the buffer; `sync` writes it to disk.
     pub fn push(&mut self, record: &Record) {
         let json = serde_json::to_string(record).unwrap_or_default();
         let line = format!("{:08x} {json}\n", crc32fast::hash(json.as_bytes()));
-        self.waiting.extend(line.as_bytes());
+        self.unsynced.extend(line.as_bytes());
     }
 
-    /// Is everything on disk?
-    pub fn synced(&self) -> bool {
-        self.waiting.is_empty()
+    /// Returns whether all records are on disk.
+    pub fn is_synced(&self) -> bool {
+        self.unsynced.is_empty()
     }
 
-    /// Writes what waits. Where that fails nothing of it counts: the next try writes all of it again.
+    /// Writes and syncs the buffered records. After a failure the file is truncated to its last synced
+    /// length, and the next call writes all of them again.
     pub fn sync(&mut self) -> std::io::Result<()> {
-        if self.waiting.is_empty() {
+        if self.unsynced.is_empty() {
             return Ok(());
         }
         let written = self
             .file
-            .seek(SeekFrom::Start(self.end))
-            .and_then(|_| self.file.write_all(&self.waiting))
+            .seek(SeekFrom::Start(self.durable_bytes))
+            .and_then(|_| self.file.write_all(&self.unsynced))
             .and_then(|()| self.file.sync_data());
         match written {
             Ok(()) => {
-                self.end += self.waiting.len() as u64;
-                self.waiting.clear();
+                self.durable_bytes += self.unsynced.len() as u64;
+                self.unsynced.clear();
                 Ok(())
             }
             Err(e) => {
-                let _ = self.file.set_len(self.end);
+                let _ = self.file.set_len(self.durable_bytes);
                 Err(e)
             }
         }
     }
 }
 
-/// Held as long as it lives, and no longer than the process.
+/// The exclusive lock on a state folder, held until it is dropped or the process ends.
 pub struct Lease(#[allow(dead_code)] File);
 
 impl Lease {
-    /// Takes the lease of a state folder, or says who has it.
-    pub fn take(folder: &Path) -> Result<Lease> {
-        let path = path(folder);
+    /// Acquires the lease of a state folder; an error names the process that holds it.
+    pub fn acquire(folder: &Path) -> Result<Lease> {
+        let path = lease_path(folder);
         let mut file = OpenOptions::new()
             .read(true)
             .write(true)
@@ -116,9 +117,9 @@
         match file.try_lock() {
             Ok(()) => {}
             Err(TryLockError::WouldBlock) => {
-                let mut who = String::new();
-                let _ = file.read_to_string(&mut who);
-                bail!("another rollout drives these fronts: process {}", who.trim());
+                let mut holder = String::new();
+                let _ = file.read_to_string(&mut holder);
+                bail!("another rollout drives these fronts: process {}", holder.trim());
             }
             Err(TryLockError::Error(e)) => return Err(e).context("the lease"),
         }
@@ -128,13 +129,14 @@
         Ok(Lease(file))
     }
 
-    /// Does somebody drive?
-    pub fn taken(folder: &Path) -> bool {
-        File::open(path(folder)).is_ok_and(|f| matches!(f.try_lock_shared(), Err(TryLockError::WouldBlock)))
+    /// Returns whether a process holds the lease.
+    pub fn is_held(folder: &Path) -> bool {
+        File::open(lease_path(folder))
+            .is_ok_and(|f| matches!(f.try_lock_shared(), Err(TryLockError::WouldBlock)))
     }
 }
 
-fn path(folder: &Path) -> PathBuf {
+fn lease_path(folder: &Path) -> PathBuf {
     folder.join("lease")
 }
 
@@ -144,7 +146,7 @@
     use onyxyoke::rollout::{OperatorCommand, ProcessCommand, ProcessEvent, Release};
 
     #[test]
-    fn what_was_torn_is_dropped_and_what_was_changed_is_an_error() {
+    fn truncated_last_line_is_dropped_and_changed_line_is_an_error() {
         let path = std::env::temp_dir().join(format!("onyxyoke-journal-{}", std::process::id()));
         let _ = std::fs::remove_file(&path);
         let records = [
@@ -153,8 +155,8 @@
             Record::Noticed { front: 1, notice: ProcessEvent::Changed(Release::New) },
             Record::CommandReceived(OperatorCommand::Abort),
         ];
-        let (mut journal, none) = Journal::open(&path).unwrap();
-        assert!(none.is_empty());
+        let (mut journal, initial_records) = Journal::open(&path).unwrap();
+        assert!(initial_records.is_empty());
         records.iter().for_each(|r| journal.push(r));
         journal.sync().unwrap();
         drop(journal);
@@ -164,14 +166,14 @@
             let (mut journal, found) = Journal::open(&path).unwrap();
             let lines = whole[..cut].iter().filter(|b| **b == b'\n').count();
             assert_eq!(found, records[..lines], "cut at {cut}");
-            // What is written after it is read after it.
+            // A record that is appended after the cut is read back.
             journal.push(&records[0]);
             journal.sync().unwrap();
             assert_eq!(Journal::open(&path).unwrap().1.len(), lines + 1, "cut at {cut}");
         }
         let mut changed = whole.clone();
         changed[20] ^= 1;
-        assert!(read(&changed).unwrap_err().to_string().contains("line 1"));
+        assert!(parse_records(&changed).unwrap_err().to_string().contains("line 1"));
         std::fs::remove_file(&path).unwrap();
     }
 }
--- a/crates/rollout/src/main.rs
+++ b/crates/rollout/src/main.rs
@@ -1,5 +1,5 @@
-//! `onyxyoke-rollout`: rolls a change of program or settings over the fronts of a host in stages, old and new side by
-//! side, and stops it when a stage does worse.
+//! `onyxyoke-rollout`: rolls out a change of program or settings over the fronts of a host in stages, with
+//! old and new side by side, and rolls it back when a stage does worse.
 #![forbid(unsafe_code)]
 
 mod drive;
@@ -16,14 +16,15 @@
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
-/// Rolls a change of program or settings over fronts in stages, and stops it when a stage does worse.
+/// Rolls out a change of program or settings over fronts in stages, and rolls it back when a stage does
+/// worse.
 ///
-/// Exit codes: 0 done, 2 it could not be run, 3 stopped by the gate, 4 aborted, 5 failed (a front could not be brought
-/// back).
+/// Exit codes: 0 done, 2 not run because of an error, 3 stopped by the gate, 4 aborted, 5 failed (a front
+/// could not be rolled back).
 #[derive(Parser)]
 #[command(version, about)]
 struct Arguments {
-    /// The folder in which a rollout keeps its journal and what it needs to go on
+    /// The state folder of the rollout: its journal and everything it needs to resume
     #[arg(long, global = true, default_value = "rollout.state")]
     state: PathBuf,
     #[command(subcommand)]
@@ -32,42 +33,45 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Checks a plan as a whole, and says what would happen when; changes nothing
+    /// Checks a plan and describes its stages with their times; changes nothing
     Plan {
         /// The plan's file
         file: Option<PathBuf>,
-        /// Prints the plan's JSON schema and ends
+        /// Prints the plan's JSON schema and exits
         #[arg(long)]
         schema: bool,
     },
-    /// Starts a rollout and drives it to its end; goes on with one that was begun in this folder
+    /// Runs a rollout to its end; resumes the one that was begun in this state folder
     Start {
         /// The plan's file
         file: PathBuf,
     },
-    /// Shows where it stands
+    /// Shows the state of the rollout
     Status {
-        /// As JSON
+        /// Prints JSON
         #[arg(long)]
         json: bool,
-        /// Again every second until it ends
+        /// Repeats every second until the rollout ends
         #[arg(long)]
         live: bool,
     },
-    /// Changes nothing more until 'resume'; what is worse still goes back
+    /// Starts no further changes until 'resume'; a stage that does worse is still rolled back
     Pause,
-    /// Goes on
+    /// Continues a paused rollout
     Resume,
-    /// Back to the old side everywhere
+    /// Rolls all fronts back to the old release
     Abort,
-    /// Writes a page of what happened, with plots
+    /// Writes an HTML report with plots
     Report {
-        /// Where to
+        /// The file to write
         #[arg(default_value = "rollout.html")]
         out: PathBuf,
     },
 }
 
+/// Maximum wait until a submitted command is journalled.
+const COMMAND_TIMEOUT: Duration = Duration::from_secs(10);
+
 fn main() -> ExitCode {
     let filter = tracing_subscriber::EnvFilter::try_from_default_env();
     let filter = filter.unwrap_or_else(|_| tracing_subscriber::EnvFilter::new("info"));
@@ -88,15 +92,15 @@
             println!("{}", serde_json::to_string_pretty(&schemars::schema_for!(Plan))?);
         }
         Command::Plan { file, .. } => {
-            let path = file.as_deref().context("a plan's file is wanted, or '--schema'")?;
-            let plan = file::read(path)?;
-            let settings = file::settings(&plan)?;
-            print!("{}", file::tell(&file::check(plan, &settings)?));
+            let path = file.as_deref().context("a plan's file or '--schema' is required")?;
+            let plan = file::read_plan(path)?;
+            let settings = file::read_settings(&plan)?;
+            print!("{}", file::describe(&file::check(plan, &settings)?));
         }
         Command::Start { file } => {
-            let end = drive::run(state, file)?;
-            println!("{}", format!("{end:?}").to_lowercase());
-            return Ok(match end {
+            let outcome = drive::run(state, file)?;
+            println!("{}", format!("{outcome:?}").to_lowercase());
+            return Ok(match outcome {
                 Outcome::Done => 0,
                 Outcome::Stopped => 3,
                 Outcome::Aborted => 4,
@@ -110,76 +114,83 @@
             if *json {
                 println!("{text}");
             } else {
-                show(state, &status);
+                print_status(state, &status);
             }
             if !live || status.report.end.is_some() {
                 break;
             }
             std::thread::sleep(Duration::from_secs(1));
         },
-        Command::Pause => say(state, OperatorCommand::Pause)?,
-        Command::Resume => say(state, OperatorCommand::Resume)?,
-        Command::Abort => say(state, OperatorCommand::Abort)?,
+        Command::Pause => send_command(state, OperatorCommand::Pause)?,
+        Command::Resume => send_command(state, OperatorCommand::Resume)?,
+        Command::Abort => send_command(state, OperatorCommand::Abort)?,
         Command::Report { out } => {
-            report::write(state, &file::read(&state.join("plan.json"))?, out)?;
+            report::write(state, &file::read_plan(&state.join("plan.json"))?, out)?;
             println!("{}", out.display());
         }
     }
     Ok(0)
 }
 
-/// Leaves a word, and waits until the tool that drives has it on disk.
-fn say(state: &Path, word: OperatorCommand) -> Result<()> {
+/// Submits a command and waits until the driving process has journalled it.
+fn send_command(state: &Path, command: OperatorCommand) -> Result<()> {
     anyhow::ensure!(state.join("journal").exists(), "'{}' holds no rollout", state.display());
-    let path = drive::leave(state, word)?;
-    let by = Instant::now() + Duration::from_secs(10);
+    let path = drive::submit_command(state, command)?;
+    let deadline = Instant::now() + COMMAND_TIMEOUT;
     while path.exists() {
-        if !journal::Lease::taken(state) {
-            println!("nobody drives it now; the next 'start' heeds it first");
+        if !journal::Lease::is_held(state) {
+            println!("no process drives the rollout; the next 'start' applies the command first");
             return Ok(());
         }
-        anyhow::ensure!(Instant::now() < by, "the tool that drives it does not heed it");
+        anyhow::ensure!(
+            Instant::now() < deadline,
+            "the process that drives the rollout does not read the command"
+        );
         std::thread::sleep(Duration::from_millis(50));
     }
     println!("heeded");
     Ok(())
 }
 
-/// A table for people.
-fn show(state: &Path, status: &drive::Status) {
-    let r = &status.report;
-    let driven = if journal::Lease::taken(state) { "driven" } else { "nobody drives it" };
-    println!("{}: {} ({driven})", status.name, r.phase);
-    if let Some(why) = &r.why {
+/// Prints the status as a table.
+fn print_status(state: &Path, status: &drive::Status) {
+    let report = &status.report;
+    let driver = if journal::Lease::is_held(state) { "driven" } else { "nobody drives it" };
+    println!("{}: {} ({driver})", status.name, report.phase);
+    if let Some(why) = &report.why {
         println!("  why      {why}");
     }
-    let stage = if r.stages == 0 { 0 } else { (r.stage + 1).min(r.stages) };
-    println!("  stage    {stage} of {}", r.stages);
-    println!("  fronts   {} old, {} new, {} in change, {} silent", r.old, r.new, r.changing, r.silent);
-    for (class, [new, old]) in r.sums.iter().enumerate() {
+    let stage = if report.stages == 0 { 0 } else { (report.stage + 1).min(report.stages) };
+    println!("  stage    {stage} of {}", report.stages);
+    println!(
+        "  fronts   {} old, {} new, {} in change, {} silent",
+        report.old, report.new, report.changing, report.silent
+    );
+    for (class, [new, old]) in report.sums.iter().enumerate() {
         let share = |s: &(f64, f64)| 100.0 * s.1 / s.0.max(1.0);
-        let most = r.evidence.get(class).map_or(0.0, |e| e.iter().copied().fold(f64::MIN, f64::max));
+        let max_evidence =
+            report.evidence.get(class).map_or(0.0, |e| e.iter().copied().fold(f64::MIN, f64::max));
         println!(
-            "  class {class}  new {} requests, {:.2} % unserved; old {}, {:.2} %; evidence {most:.1} of {:.1}",
+            "  class {class}  new {} requests, {:.2} % unserved; old {}, {:.2} %; evidence {max_evidence:.1} of {:.1}",
             new.0,
             share(new),
             old.0,
             share(old),
-            r.bound
+            report.bound
         );
     }
-    if r.paused {
+    if report.paused {
         println!("  paused by an operator");
     }
-    if r.held {
-        println!("  held: the whole does worse than before");
+    if report.held {
+        println!("  held: the whole fleet does worse than before");
     }
-    match r.undecided {
-        Some(Undecided::TooMuch(measure)) if r.end.is_none() => {
+    match report.undecided {
+        Some(Undecided::TooMuch(measure)) if report.end.is_none() => {
             println!("  waits: new fronts use more {measure:?} than old ones")
         }
-        Some(Undecided::NotCompared) if r.end.is_none() => {
-            println!("  waits: new fronts were not compared with old ones yet")
+        Some(Undecided::NotCompared) if report.end.is_none() => {
+            println!("  waits: new fronts have not been compared with old ones yet")
         }
         _ => {}
     }
--- a/crates/rollout/src/operators.rs
+++ b/crates/rollout/src/operators.rs
@@ -1,5 +1,6 @@
-//! A client of a front's operators' socket. Each query has a connection of its own, which the front closes behind its
-//! answer. A connection may also end in the middle of an answer: an answer without its end mark is an error.
+//! A client of a front's operators' socket. Each query uses its own connection, which the front closes after
+//! its answer. A connection may also end in the middle of an answer: an answer without its end mark is an
+//! error.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -8,46 +9,46 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Longest wait for an answer.
+/// Maximum wait for an answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
-/// Size of the longest answer that is read (bytes).
-pub const LONGEST_ANSWER: usize = 1 << 20;
-/// How an answer of several lines begins, if the front does not refuse the query.
-const SEVERAL_LINES: &str = "ok\n";
-/// How such an answer ends.
+/// Maximum size of an answer (bytes).
+pub const MAX_ANSWER_BYTES: usize = 1 << 20;
+/// First line of a multi-line answer, unless the front refuses the query.
+const FIRST_LINE: &str = "ok\n";
+/// End of a multi-line answer.
 const LAST_LINE: &str = "\neof\n";
 
-/// A question to a front.
+/// A query to a front.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Query {
-    /// Whether the process takes clients.
+    /// Whether the process accepts clients.
     Health,
-    /// The program and the settings that it runs.
+    /// The digests of its program and settings.
     Version,
-    /// Its counts.
+    /// Its counters.
     Counters,
-    /// Its counts of what was served late.
+    /// Its counts of requests that were served late.
     Slow,
 }
 
 impl Query {
-    /// Asks a front, and returns its whole answer.
-    pub async fn ask(self, operators: SocketAddr) -> Result<String, QueryError> {
+    /// Sends the query to a front and returns the complete answer.
+    pub async fn send(self, operators: SocketAddr) -> Result<String, QueryError> {
         let exchange = timeout(ANSWER_TIMEOUT, self.exchange(operators)).await;
         let received = exchange.map_err(|_| QueryError::TimedOut(self))?;
-        self.whole_answer(received.map_err(QueryError::Connection)?)
+        self.complete_answer(received.map_err(QueryError::Connection)?)
     }
 
-    /// Sends the query, and reads until the connection ends or more than the longest answer was received.
+    /// Sends the query and reads until the connection ends or the answer exceeds the maximum size.
     async fn exchange(self, operators: SocketAddr) -> std::io::Result<Vec<u8>> {
         let mut stream = TcpStream::connect(operators).await?;
         stream.write_all(format!("{}\n", self.line()).as_bytes()).await?;
         let mut received = Vec::new();
-        stream.take(LONGEST_ANSWER as u64 + 1).read_to_end(&mut received).await?;
+        stream.take(MAX_ANSWER_BYTES as u64 + 1).read_to_end(&mut received).await?;
         Ok(received)
     }
 
-    /// The query's line on the wire, without its end.
+    /// The query's line on the wire, without its line end.
     fn line(self) -> &'static str {
         match self {
             Query::Health => "health",
@@ -57,17 +58,17 @@
         }
     }
 
-    /// How a whole answer ends: with its only line, or with a last line `eof`.
+    /// The end of a complete answer: the line end of its only line, or a last line `eof`.
     fn end_mark(self, answer: &str) -> &'static str {
         match self {
-            Query::Counters | Query::Slow if answer.starts_with(SEVERAL_LINES) => LAST_LINE,
+            Query::Counters | Query::Slow if answer.starts_with(FIRST_LINE) => LAST_LINE,
             _ => "\n",
         }
     }
 
-    /// The answer, if it is whole.
-    fn whole_answer(self, received: Vec<u8>) -> Result<String, QueryError> {
-        if received.len() > LONGEST_ANSWER {
+    /// Returns the answer if it is complete.
+    fn complete_answer(self, received: Vec<u8>) -> Result<String, QueryError> {
+        if received.len() > MAX_ANSWER_BYTES {
             return Err(QueryError::TooLong(self));
         }
         let length = received.len();
@@ -79,16 +80,16 @@
     }
 }
 
-/// Why a query has no answer.
+/// Why a query has no complete answer.
 #[derive(Debug)]
 pub enum QueryError {
-    /// The connection was not made, or failed.
+    /// The connection could not be opened, or failed.
     Connection(std::io::Error),
-    /// The answer did not come in time.
+    /// The answer did not arrive in time.
     TimedOut(Query),
-    /// The connection ended after so many bytes, before the answer did.
+    /// The connection ended after this many bytes, before the end of the answer.
     CutOff(Query, usize),
-    /// The answer is longer than the longest that is read.
+    /// The answer exceeds the maximum size.
     TooLong(Query),
     /// The answer is not text.
     NotText(Query),
@@ -103,7 +104,7 @@
                 write!(f, "the answer to '{}' was cut off after {length} bytes", query.line())
             }
             QueryError::TooLong(query) => {
-                write!(f, "the answer to '{}' is longer than {LONGEST_ANSWER} bytes", query.line())
+                write!(f, "the answer to '{}' is longer than {MAX_ANSWER_BYTES} bytes", query.line())
             }
             QueryError::NotText(query) => write!(f, "the answer to '{}' is not text", query.line()),
         }
--- a/crates/rollout/src/report.rs
+++ b/crates/rollout/src/report.rs
@@ -1,13 +1,13 @@
-//! The report: a page with what happened and two plots, from the journal and the windows.
+//! The HTML report: the stages, two plots and the journal's records, from `journal` and `windows.jsonl`.
 
-use crate::drive::Moment;
+use crate::drive::StatusSample;
 use anyhow::{Context, Result};
 use onyxyoke::rollout::{COUNTED, Plan, ProcessEvent, Record, Release};
 use plotters::prelude::*;
 use std::fmt::Write;
 use std::path::Path;
 
-/// Draws lines over time.
+/// Draws a plot of lines over time as SVG.
 fn plot(title: &str, lines: &[(String, Vec<(f64, f64)>)]) -> Result<String> {
     let mut svg = String::new();
     let points = || lines.iter().flat_map(|l| l.1.iter().copied());
@@ -34,25 +34,25 @@
     Ok(svg)
 }
 
-/// Text as a page has it.
+/// Escapes text for HTML.
 fn escape(text: &str) -> String {
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
 }
 
-/// Writes the page of a rollout's state folder.
+/// Writes the report of a rollout from its state folder.
 pub fn write(state: &Path, plan: &Plan, out: &Path) -> Result<()> {
     let journal = state.join("journal");
     let bytes = std::fs::read(&journal).with_context(|| format!("'{}'", journal.display()))?;
-    let (records, _) = crate::journal::read(&bytes)?;
+    let (records, _) = crate::journal::parse_records(&bytes)?;
     let text = std::fs::read_to_string(state.join("windows.jsonl")).unwrap_or_default();
-    let moments: Vec<Moment> = text.lines().filter_map(|l| serde_json::from_str(l).ok()).collect();
-    let began = moments.first().map_or(0.0, |m| m.at);
+    let samples: Vec<StatusSample> = text.lines().filter_map(|l| serde_json::from_str(l).ok()).collect();
+    let start = samples.first().map_or(0.0, |m| m.at);
     let mut page = format!(
         "<!doctype html><meta charset=utf-8><title>{name}</title><style>body{{font:15px sans-serif;max-width:60em;\
          margin:2em auto}}td,th{{padding:.2em .8em;text-align:left}}</style><h1>{name}</h1>",
         name = escape(&plan.name)
     );
-    if let Some(last) = moments.last() {
+    if let Some(last) = samples.last() {
         let r = &last.report;
         let _ = write!(
             page,
@@ -67,9 +67,9 @@
     }
     page += "<h2>Stages</h2><table><tr><th>stage<th>class<th>new: requests<th>unserved<th>old: requests<th>unserved</tr>";
     for stage in 0..plan.limits.stages.len() + 1 {
-        let of_stage = moments.iter().rfind(|m| m.report.stage == stage && m.report.stages > 0);
-        let Some(moment) = of_stage else { continue };
-        for (class, [new, old]) in plan.classes.iter().zip(&moment.report.sums) {
+        let of_stage = samples.iter().rfind(|m| m.report.stage == stage && m.report.stages > 0);
+        let Some(sample) = of_stage else { continue };
+        for (class, [new, old]) in plan.classes.iter().zip(&sample.report.sums) {
             let share = |s: &(f64, f64)| 100.0 * s.1 / s.0.max(1.0);
             let _ = write!(
                 page,
@@ -84,18 +84,19 @@
         }
     }
     page += "</table>";
-    let over =
-        |of: &dyn Fn(&Moment) -> f64| moments.iter().map(|m| (m.at - began, of(m))).collect::<Vec<_>>();
+    let over_time = |value: &dyn Fn(&StatusSample) -> f64| {
+        samples.iter().map(|m| (m.at - start, value(m))).collect::<Vec<_>>()
+    };
     let fronts = [
-        ("old".to_owned(), over(&|m| m.report.old as f64)),
-        ("new".to_owned(), over(&|m| m.report.new as f64)),
-        ("in change".to_owned(), over(&|m| m.report.changing as f64)),
+        ("old".to_owned(), over_time(&|m| m.report.old as f64)),
+        ("new".to_owned(), over_time(&|m| m.report.new as f64)),
+        ("in change".to_owned(), over_time(&|m| m.report.changing as f64)),
     ];
     page += &plot("fronts", &fronts)?;
-    let mut evidence = vec![("stops it".to_owned(), over(&|m| m.report.bound))];
+    let mut evidence = vec![("stops it".to_owned(), over_time(&|m| m.report.bound))];
     for (i, class) in plan.classes.iter().enumerate() {
         for (j, measure) in COUNTED.into_iter().enumerate() {
-            let line = over(&|m| m.report.evidence.get(i).map_or(0.0, |e| e[j].max(-2.0)));
+            let line = over_time(&|m| m.report.evidence.get(i).map_or(0.0, |e| e[j].max(-2.0)));
             evidence.push((format!("{class}, {measure:?}").to_lowercase(), line));
         }
     }
--- a/crates/rollout/tests/command.rs
+++ b/crates/rollout/tests/command.rs
@@ -1,5 +1,5 @@
-//! The tool's commands against fronts that do not matter: what is wrong is told by its key, and a second tool is kept
-//! away.
+//! The tool's commands against stand-in fronts: errors in a plan name the key, and a second driver is
+//! refused.
 
 use serde_json::{Value, json};
 use std::io::{Read, Write};
@@ -23,17 +23,17 @@
     }
 }
 
-fn tool(folder: &Path, words: &[&str]) -> Output {
+fn run_tool(folder: &Path, arguments: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_onyxyoke-rollout"));
-    command.arg("--state").arg(folder.join("state")).args(words).output().unwrap()
+    command.arg("--state").arg(folder.join("state")).args(arguments).output().unwrap()
 }
 
-fn said(output: &Output) -> String {
+fn output_text(output: &Output) -> String {
     String::from_utf8_lossy(&output.stdout).into_owned() + &String::from_utf8_lossy(&output.stderr)
 }
 
-/// Something that answers operators: it takes clients, and says that it runs these.
-fn answers(build: u64, settings: u64) -> SocketAddr {
+/// A stand-in operators' socket: reports that the process accepts clients and has these digests.
+fn serve_operators(build: u64, settings: u64) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     std::thread::spawn(move || {
@@ -54,7 +54,7 @@
     address
 }
 
-/// A plan over two fronts whose settings are the example's.
+/// A plan over two fronts with the settings of the example file.
 fn plan(folder: &Path) -> Value {
     let operator: Value = toml::from_str(include_str!("../../../deploy/operator.toml")).unwrap();
     let program = env!("CARGO_BIN_EXE_onyxyoke-rollout");
@@ -67,10 +67,10 @@
                 {"revision": 1, "complete": true, "members": []}}]}});
         let path = folder.join(format!("n{i}.json"));
         std::fs::write(&path, config.to_string()).unwrap();
-        let told =
+        let loaded =
             onyxyoke::config::read(Some(("config", config.to_string().as_bytes())), None).unwrap().loaded;
         let build = onyxyoke::net::admin::program_digest(program.as_ref()).unwrap();
-        let operators = answers(build, told.digest());
+        let operators = serve_operators(build, loaded.digest());
         fronts.push(json!({"name": format!("n{i}"), "location": "branch0", "operators": operators,
             "settings": path, "folder": folder}));
     }
@@ -78,25 +78,26 @@
         "fronts": fronts, "classes": ["media"], "spans": {"watch_s": 600, "longest_stage_s": 2000}})
 }
 
-fn write(folder: &Path, plan: &Value) -> String {
+fn write_plan(folder: &Path, plan: &Value) -> String {
     let path = folder.join("plan.json");
     std::fs::write(&path, plan.to_string()).unwrap();
     path.display().to_string()
 }
 
 #[test]
-fn what_is_wrong_with_a_plan_is_told_by_its_key() {
+fn plan_errors_name_the_key() {
     let folder = Folder::new("wrong");
     let right = plan(&folder.0);
-    let told = |plan: &Value| said(&tool(&folder.0, &["plan", &write(&folder.0, plan)]));
-    assert!(told(&right).contains("stage 1 from 600 s"), "{}", told(&right));
+    let plan_output =
+        |plan: &Value| output_text(&run_tool(&folder.0, &["plan", &write_plan(&folder.0, plan)]));
+    assert!(plan_output(&right).contains("stage 1 from 600 s"), "{}", plan_output(&right));
     let mut wrong = right.clone();
     wrong["spans"]["soak"] = json!(3);
-    assert!(told(&wrong).contains("spans.soak"), "{}", told(&wrong));
+    assert!(plan_output(&wrong).contains("spans.soak"), "{}", plan_output(&wrong));
     let mut wrong = right.clone();
     wrong["fronts"][1]["name"] = json!("n0");
-    assert!(told(&wrong).contains("'fronts.1.name'"), "{}", told(&wrong));
-    // Settings that fronts share are not mixed, and who a front is stays.
+    assert!(plan_output(&wrong).contains("'fronts.1.name'"), "{}", plan_output(&wrong));
+    // Settings that fronts share cannot be mixed, and a front's identity cannot change.
     let settings = |change: fn(&mut Value)| {
         let mut config: Value =
             serde_json::from_slice(&std::fs::read(folder.0.join("n0.json")).unwrap()).unwrap();
@@ -108,37 +109,41 @@
         plan
     };
     let shared = settings(|c| c["settings"]["fleet-size"] = json!(77));
-    assert!(told(&shared).contains("'settings.fleet-size' must be the same"), "{}", told(&shared));
+    assert!(
+        plan_output(&shared).contains("'settings.fleet-size' must be the same"),
+        "{}",
+        plan_output(&shared)
+    );
     let mut whole = shared.clone();
     whole["limits"]["by"] = json!("location");
-    assert!(told(&whole).contains("whole locations"), "{}", told(&whole));
-    let who = settings(|c| c["listen"] = json!("127.0.0.1:9"));
-    assert!(told(&who).contains("'listen' is who a front is"), "{}", told(&who));
+    assert!(plan_output(&whole).contains("whole locations"), "{}", plan_output(&whole));
+    let identity = settings(|c| c["listen"] = json!("127.0.0.1:9"));
+    assert!(plan_output(&identity).contains("'listen' is who a front is"), "{}", plan_output(&identity));
     let broken = settings(|c| c["limits"]["sockets"] = json!("many"));
-    assert!(told(&broken).contains("fronts.0.new_settings"), "{}", told(&broken));
-    let schema: Value = serde_json::from_slice(&tool(&folder.0, &["plan", "--schema"]).stdout).unwrap();
+    assert!(plan_output(&broken).contains("fronts.0.new_settings"), "{}", plan_output(&broken));
+    let schema: Value = serde_json::from_slice(&run_tool(&folder.0, &["plan", "--schema"]).stdout).unwrap();
     assert!(schema["properties"]["gates"].is_object());
 }
 
 #[test]
-fn a_front_that_runs_something_else_is_refused_before_anything_is_done() {
+fn front_with_unknown_release_is_refused_at_the_start() {
     let folder = Folder::new("else");
     let mut plan = plan(&folder.0);
-    plan["fronts"][1]["operators"] = json!(answers(7, 7));
-    let output = tool(&folder.0, &["start", &write(&folder.0, &plan)]);
+    plan["fronts"][1]["operators"] = json!(serve_operators(7, 7));
+    let output = run_tool(&folder.0, &["start", &write_plan(&folder.0, &plan)]);
     assert_eq!(output.status.code(), Some(2));
     assert!(
-        said(&output).contains("front 'n1' runs something else (build=0000000000000007"),
+        output_text(&output).contains("front 'n1' runs something else (build=0000000000000007"),
         "{}",
-        said(&output)
+        output_text(&output)
     );
 }
 
 #[test]
-fn a_second_tool_is_kept_away_and_words_reach_the_one_that_drives() {
+fn second_driver_is_refused_and_commands_reach_the_first() {
     let folder = Folder::new("lease");
-    let path = write(&folder.0, &plan(&folder.0));
-    assert_eq!(tool(&folder.0, &["pause"]).status.code(), Some(2), "there is no rollout yet");
+    let path = write_plan(&folder.0, &plan(&folder.0));
+    assert_eq!(run_tool(&folder.0, &["pause"]).status.code(), Some(2), "there is no rollout yet");
     let mut first = Command::new(env!("CARGO_BIN_EXE_onyxyoke-rollout"));
     let mut first = first.arg("--state").arg(folder.0.join("state")).args(["start", &path]).spawn().unwrap();
     let status = folder.0.join("state").join("status.json");
@@ -146,18 +151,18 @@
         assert!(first.try_wait().unwrap().is_none(), "it ended");
         std::thread::yield_now();
     }
-    let second = tool(&folder.0, &["start", &path]);
+    let second = run_tool(&folder.0, &["start", &path]);
     assert_eq!(second.status.code(), Some(2));
-    let who = format!("another rollout drives these fronts: process {}", first.id());
-    assert!(said(&second).contains(&who), "{}", said(&second));
-    assert!(said(&tool(&folder.0, &["pause"])).contains("heeded"));
-    let shown = said(&tool(&folder.0, &["status"]));
+    let holder = format!("another rollout drives these fronts: process {}", first.id());
+    assert!(output_text(&second).contains(&holder), "{}", output_text(&second));
+    assert!(output_text(&run_tool(&folder.0, &["pause"])).contains("heeded"));
+    let shown = output_text(&run_tool(&folder.0, &["status"]));
     assert!(shown.contains("2 old, 0 new"), "{shown}");
-    assert!(said(&tool(&folder.0, &["abort"])).contains("heeded"));
+    assert!(output_text(&run_tool(&folder.0, &["abort"])).contains("heeded"));
     assert_eq!(first.wait().unwrap().code(), Some(4), "aborted");
-    assert_eq!(tool(&folder.0, &["start", &path]).status.code(), Some(4), "it is over, and stays so");
+    assert_eq!(run_tool(&folder.0, &["start", &path]).status.code(), Some(4), "it is over, and stays so");
     let page = folder.0.join("page.html");
-    let report = tool(&folder.0, &["report", &page.display().to_string()]);
-    assert!(report.status.success(), "{}", said(&report));
+    let report = run_tool(&folder.0, &["report", &page.display().to_string()]);
+    assert!(report.status.success(), "{}", output_text(&report));
     assert!(std::fs::read_to_string(&page).unwrap().contains("an operator called it back"));
 }
