--- a/src/signed/connection.rs
+++ b/src/signed/connection.rs
@@ -186,8 +186,8 @@
         self.write_text(rejection.status, fields, rejection.reason, head_only);
     }
 
-    /// Reads until a head is complete. Returns `None` if the client closed, or sent nothing before the
-    /// timeout.
+    /// Reads until a head is complete. Returns `None` if the client closed or sent nothing before the timeout,
+    /// or if the connection is to be closed.
     async fn read_head(&mut self) -> io::Result<Option<Result<http::Request, MessageError>>> {
         let mut deadline = clock::instant(clock::now() + IDLE_TIMEOUT_S);
         let mut begun = false;
