--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -27,7 +27,7 @@
 fn run_round(seed: u64) -> f64 {
     let nodes: Vec<Node> =
         (0..CACHES).map(|i| edge(10 + i)).chain([parent(40), parent(41), origin(50)]).collect();
-    let mut stage = Stage::seeded(seed, settings(), &nodes);
+    let mut stage = DirectorHarness::seeded(seed, settings(), &nodes);
     let mut random = fastrand::Rng::with_seed(seed);
     let (mut in_flight, mut spent_ns) = (VecDeque::new(), 0);
     for _ in 0..REQUESTS {
@@ -35,7 +35,7 @@
         let object = rank(&mut random);
         let started = Instant::now();
         let (_, actions) = stage.ask(object, 50.0);
-        in_flight.extend(sent(&actions));
+        in_flight.extend(sent_attempts(&actions));
         if in_flight.len() >= REQUESTS_IN_FLIGHT
             && let Some(first) = in_flight.pop_front()
         {
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -13,7 +13,7 @@
 use crate::broker::{Contracts, DiscoveryUpdate};
 use crate::interface::*;
 use crate::memory::Plan;
-use crate::xds::Names;
+use crate::xds::TopologyNames;
 pub use classes::Classes;
 use key_path::{KeyPath, Sources};
 pub use loaded::LoadedSettings;
@@ -63,7 +63,7 @@
     /// The teams' contracts; if empty, nothing is limited.
     pub contracts: Contracts,
     /// Names of the zones and of the kinds of nodes, in the settings' order.
-    pub names: Names,
+    pub names: TopologyNames,
     /// The contents of the files, for comparison on reload.
     pub loaded: LoadedSettings,
 }
@@ -174,7 +174,7 @@
     };
     let classes = director.get("profiles")?.names(|c| c.get("name")?.text())?;
     let classes = Classes::new(classes, &settings.classes);
-    let names = Names { zones: names("localities")?, kinds: names("kinds")? };
+    let names = TopologyNames { zones: names("localities")?, kinds: names("kinds")? };
     let signed = top.opt("signed").map(|s| signed(&s)).transpose()?;
     let xds = top.opt("xds").map(|x| xds(&x)).transpose()?;
     let contracts = top
--- a/src/main.rs
+++ b/src/main.rs
@@ -202,17 +202,17 @@
         let key_reloads = signed::watch_keys(signed.keys, text, keys.clone(), times, grant);
         spawn_local(track_polls(TaskKind::Keys, key_reloads));
         let context = signed::Front {
-            asks: self.broker_inputs.clone(),
+            broker_inputs: self.broker_inputs.clone(),
             contracts: self.contracts.clone(),
             classes,
             base: signed.base,
             audience: signed.audience,
-            leeway: signed.leeway,
+            leeway_s: signed.leeway,
             keys,
-            connections: self.max_connections,
-            numbers: self.numbers.clone(),
+            max_connections: self.max_connections,
+            last_connection_number: self.numbers.clone(),
             memory: self.memory.clone(),
-            wait: self.pushback,
+            retry_after_s: self.pushback,
         };
         log!("{name} serves signed links on {}", listener.local_addr()?);
         let accepting = signed::accept(listener, Rc::new(context), self.listener_state.clone());
--- a/src/net/model/parsers.rs
+++ b/src/net/model/parsers.rs
@@ -48,7 +48,7 @@
             resp::parse(&bytes).ok().flatten().map(|f| f.1),
             lines::parse(&bytes).ok().flatten().map(|f| f.1),
             frames::parse(&bytes).ok().flatten().map(|f| f.2),
-            crate::signed::http::request(&bytes, 100).ok().flatten().map(|f| f.1),
+            crate::signed::http::parse_request(&bytes, 100).ok().flatten().map(|f| f.1),
         ] {
             prop_assert!(used.is_none_or(|n| n > 0 && n <= bytes.len()));
         }
--- a/src/signed/connection.rs
+++ b/src/signed/connection.rs
@@ -51,8 +51,8 @@
         grant: Grant,
     ) -> Self {
         let (reply, answers) = unbounded_channel();
-        let number = front.numbers.get() + 1;
-        front.numbers.set(number);
+        let number = front.last_connection_number.get() + 1;
+        front.last_connection_number.set(number);
         let input =
             Buffer::new(READ_CHUNK_BYTES, front.memory.empty_grant(AccountOwner::of(Purpose::Signed)));
         let unread = AccountOwner { may_use_reserve: true, ..AccountOwner::of(Purpose::Unread) };
@@ -176,7 +176,7 @@
     /// Answers a request that is not passed to the broker.
     fn write_rejection(&mut self, rejection: &Rejection, connection_field: (&str, &str), head_only: bool) {
         let challenge = [connection_field, ("WWW-Authenticate", "URISigningPackage")];
-        let wait = format!("{}", self.front.wait.max(1.0).ceil());
+        let wait = format!("{}", self.front.retry_after_s.max(1.0).ceil());
         let retry_later = [connection_field, ("Retry-After", &*wait)];
         let fields = match rejection.status {
             401 => &challenge[..],
@@ -192,7 +192,7 @@
         let mut deadline = clock::instant(clock::now() + IDLE_TIMEOUT_S);
         let mut begun = false;
         loop {
-            match http::request(self.input.bytes(), MAX_BODY_BYTES) {
+            match http::parse_request(self.input.bytes(), MAX_BODY_BYTES) {
                 Ok(Some((request, used))) => {
                     self.input.consume(used);
                     self.head_received = true;
@@ -315,7 +315,7 @@
         let broker_ended = |_| io::Error::other("the broker has ended");
         let cancelled = client_request.cancelled.clone();
         let input = Input::Request { caller, request: client_request.into(), reply: self.reply.clone() };
-        self.front.asks.send(input).await.map_err(broker_ended)?;
+        self.front.broker_inputs.send(input).await.map_err(broker_ended)?;
         loop {
             let may_read = self.input.len() < READ_CHUNK_BYTES;
             let client_closed = tokio::select! {
@@ -339,7 +339,7 @@
             };
             if client_closed {
                 cancelled.set(true);
-                self.front.asks.send(Input::Abort(caller)).await.map_err(broker_ended)?;
+                self.front.broker_inputs.send(Input::Abort(caller)).await.map_err(broker_ended)?;
                 return Ok(None);
             }
         }
--- a/src/signed/http.rs
+++ b/src/signed/http.rs
@@ -83,7 +83,7 @@
 
 /// Parses the head of a request. Returns it with its length in `bytes`; `None` while it is incomplete. A body
 /// may have at most `max_body_bytes`.
-pub fn request(bytes: &[u8], max_body_bytes: usize) -> Result<Option<(Request, usize)>, MessageError> {
+pub fn parse_request(bytes: &[u8], max_body_bytes: usize) -> Result<Option<(Request, usize)>, MessageError> {
     // Empty lines before a request are skipped (RFC 9112, 2.2).
     let skipped = bytes.iter().take_while(|b| matches!(b, b'\r' | b'\n')).take(8).count();
     let Some((first, fields, used)) = parse_head(&bytes[skipped..])? else { return Ok(None) };
@@ -234,16 +234,16 @@
     use super::*;
 
     fn status(text: &str) -> u16 {
-        request(text.as_bytes(), 100).map(|_| 0).unwrap_or_else(|e| e.0)
+        parse_request(text.as_bytes(), 100).map(|_| 0).unwrap_or_else(|e| e.0)
     }
 
     #[test]
     fn incomplete_request_is_not_parsed() {
         let text = "\r\nPOST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\nX: a b \r\n\r\nhello";
         for end in 0..text.len() - 5 {
-            assert_eq!(request(&text.as_bytes()[..end], 100), Ok(None), "{end} bytes");
+            assert_eq!(parse_request(&text.as_bytes()[..end], 100), Ok(None), "{end} bytes");
         }
-        let (r, used) = request(text.as_bytes(), 100).unwrap().unwrap();
+        let (r, used) = parse_request(text.as_bytes(), 100).unwrap().unwrap();
         assert_eq!((&*r.method, &*r.target, r.keep_alive, r.body_length), ("POST", "/a", true, 5));
         assert_eq!((r.field("x"), &text[used..]), (Some("a b"), "hello"));
     }
--- a/src/signed/mod.rs
+++ b/src/signed/mod.rs
@@ -37,7 +37,7 @@
 /// What all connections of the signed-link front share.
 pub struct Front {
     /// Sends requests to the broker.
-    pub asks: Sender<Input>,
+    pub broker_inputs: Sender<Input>,
     /// Contracts, which map paths to teams and classes.
     pub contracts: Rc<Contracts>,
     /// Request classes, for their deadlines and effects.
@@ -47,17 +47,17 @@
     /// Audience that a token's `aud` must contain.
     pub audience: Option<String>,
     /// Permitted difference between clocks (seconds).
-    pub leeway: f64,
+    pub leeway_s: f64,
     /// The signers' keys.
     pub keys: Rc<RefCell<Keys>>,
     /// Maximum number of connections.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Number of the last connection, shared by all listeners of the process.
-    pub numbers: Rc<Cell<u64>>,
+    pub last_connection_number: Rc<Cell<u64>>,
     /// Memory accounts of connections, requests and answers.
     pub memory: Ledger,
     /// `Retry-After` of requests that this front rejects for lack of memory (seconds).
-    pub wait: f64,
+    pub retry_after_s: f64,
 }
 
 /// Rereads the key file periodically and never returns. `text` is the content that was loaded at the start. A
@@ -102,7 +102,7 @@
 
 /// Accepts connections until the process ends or the listener is stopped.
 pub async fn accept(listener: TcpListener, front: Rc<Front>, state: Rc<ListenerState>) {
-    let (connections, memory) = (front.connections, front.memory.clone());
+    let (connections, memory) = (front.max_connections, front.memory.clone());
     let serve = move |socket, slot, grant| Connection::new(front.clone(), socket, slot, grant).serve();
     crate::net::accept(listener, state, connections, memory, serve).await;
 }
@@ -141,8 +141,8 @@
         let verdict = target.token.or(cookie).ok_or(Refusal::Missing).and_then(|token| {
             let uri = format!("{}{}", self.base, target.uri);
             let issuer = &self.contracts.0[usize::from(team)].issuer;
-            let (audience, leeway) = (self.audience.as_deref(), self.leeway);
-            let context = token::CheckContext { uri: &uri, issuer, audience, leeway, now };
+            let (audience, leeway_s) = (self.audience.as_deref(), self.leeway_s);
+            let context = token::CheckContext { uri: &uri, issuer, audience, leeway_s, now };
             token::check(&token, &self.keys.borrow(), &context)
         });
         match verdict {
--- a/src/signed/token.rs
+++ b/src/signed/token.rs
@@ -50,7 +50,7 @@
     /// Audience that a token's `aud`, if present, must contain.
     pub audience: Option<&'a str>,
     /// Permitted difference between clocks (seconds).
-    pub leeway: f64,
+    pub leeway_s: f64,
     /// Arrival time of the request (Unix seconds).
     pub now: f64,
 }
@@ -82,10 +82,10 @@
         None => Ok(None),
         Some(v) => v.as_f64().map(Some).ok_or(Refusal::Malformed),
     };
-    if context.now >= time("exp")?.ok_or(Refusal::UnacceptableClaims)? + context.leeway {
+    if context.now >= time("exp")?.ok_or(Refusal::UnacceptableClaims)? + context.leeway_s {
         return Err(Refusal::Expired);
     }
-    if time("nbf")?.is_some_and(|nbf| context.now < nbf - context.leeway) {
+    if time("nbf")?.is_some_and(|nbf| context.now < nbf - context.leeway_s) {
         return Err(Refusal::NotYetValid);
     }
     check_audience(&claims, context.audience)?;
--- a/src/xds.rs
+++ b/src/xds.rs
@@ -33,7 +33,7 @@
 
 /// The names that localities and metadata use, at the index that the settings give them.
 #[derive(Debug, Clone, Default)]
-pub struct Names {
+pub struct TopologyNames {
     /// Zones.
     pub zones: Vec<String>,
     /// Kinds of node.
@@ -43,7 +43,7 @@
 /// The resources that were accepted last.
 #[derive(Debug, Default)]
 pub struct DiscoveryState {
-    names: Names,
+    names: TopologyNames,
     /// Clusters by name: the name of the endpoint resource, and the kind of the nodes.
     clusters: BTreeMap<String, (String, Option<u16>)>,
     assignments: BTreeMap<String, Vec<Endpoint>>,
@@ -91,7 +91,7 @@
 
 impl DiscoveryState {
     /// An empty state.
-    pub fn new(names: Names) -> Self {
+    pub fn new(names: TopologyNames) -> Self {
         DiscoveryState { names, ..DiscoveryState::default() }
     }
 
@@ -260,7 +260,7 @@
 pub async fn follow(
     server: Rc<Reloadable<(SocketAddr, f64)>>,
     node: String,
-    names: Names,
+    names: TopologyNames,
     updates: UnboundedSender<DiscoveryUpdate>,
     memory: Ledger,
 ) {
@@ -399,7 +399,7 @@
 
     fn state() -> DiscoveryState {
         let list = |names: &[&str]| names.iter().map(|n| (*n).to_owned()).collect();
-        DiscoveryState::new(Names {
+        DiscoveryState::new(TopologyNames {
             zones: list(&["hub", "branch"]),
             kinds: list(&["standard", "parent", "origin"]),
         })
--- a/tests/closing.rs
+++ b/tests/closing.rs
@@ -19,7 +19,7 @@
 /// A front with one cache node, and a client that has not read its answer. The kernel holds all of the
 /// answer; the front has nothing more to send.
 struct UnreadAnswer {
-    front: Node,
+    front: PlatformFront,
     served: Receiver<Served>,
     client: Client,
 }
@@ -28,14 +28,14 @@
     fn start(name: &str, change: impl Fn(&mut Value)) -> UnreadAnswer {
         let (cache, served) = cache_node();
         let members = vec![member(EDGE, "standard", cache), member(ORIGIN, "origin", cache)];
-        let front = Node::start(name, members, change);
+        let front = PlatformFront::start(name, members, change);
         let client = Client::new(narrow(front.address));
         UnreadAnswer::request(front, served, client)
     }
 
     /// Sends a request and waits until the front has passed the whole answer to the kernel.
-    fn request(front: Node, served: Receiver<Served>, mut client: Client) -> UnreadAnswer {
-        hold(&mut client, 1);
+    fn request(front: PlatformFront, served: Receiver<Served>, mut client: Client) -> UnreadAnswer {
+        send_keyed_request(&mut client, 1);
         next(&served).hit(&vec![b'y'; LARGE_BODY_BYTES]);
         eventually("the front counts the answer", || {
             front.signal("-USR1");
@@ -47,7 +47,7 @@
 
     /// Has the client send a second request before it reads, and checks that both answers arrive whole.
     fn assert_both_answers_arrive(mut self) {
-        hold(&mut self.client, 2);
+        send_keyed_request(&mut self.client, 2);
         let served = self.served;
         thread::spawn(move || served.iter().for_each(|mut s| s.hit(b"second")));
         let first = self.client.answer();
@@ -65,7 +65,7 @@
     let mut idle = idle_client(&unread.front);
     // Less than the program needs by itself, so that none of the shared memory is free.
     unread.front.reload(|config| config["limits"]["memory_mb"] = json!(4));
-    assert!(idle.closed(), "a connection that became idle later is closed");
+    assert!(idle.ends_without_data(), "a connection that became idle later is closed");
     unread.assert_both_answers_arrive();
 }
 
@@ -73,10 +73,10 @@
 /// they would stay open until their idle timeout.
 #[test]
 fn scarce_memory_closes_idle_connections_without_new_connections() {
-    let (front, _served) = one_cache("closing-relief");
+    let (front, _served) = front_with_one_cache("closing-relief");
     let (mut idle, mut waiting) = (idle_client(&front), front.connect());
     // The cache node never answers this request, so the front fails it after 3 s: the test's clock.
-    hold(&mut waiting, 1);
+    send_keyed_request(&mut waiting, 1);
     front.reload(|config| config["limits"]["memory_mb"] = json!(4));
     assert_eq!(waiting.answer()[0], "1");
     assert!(is_closed(&mut idle));
@@ -85,13 +85,13 @@
 /// Guards against closing a new connection under scarce memory before its client could send a request.
 #[test]
 fn scarce_memory_keeps_connections_that_were_just_opened() {
-    let (front, served) = one_cache("closing-new");
+    let (front, served) = front_with_one_cache("closing-new");
     let mut idle = [idle_client(&front), idle_client(&front)];
     front.reload(|config| config["limits"]["memory_mb"] = json!(4));
-    assert!(idle[0].closed());
+    assert!(idle[0].ends_without_data());
     let mut new_client = front.connect();
-    assert!(idle[1].closed());
-    hold(&mut new_client, 1);
+    assert!(idle[1].ends_without_data());
+    send_keyed_request(&mut new_client, 1);
     next(&served).hit(b"first");
     assert_eq!(new_client.answer()[1], "ok");
 }
@@ -100,12 +100,12 @@
 /// connection needs. Guards against refusing the new connection because evicting one is not enough.
 #[test]
 fn idle_connections_beyond_a_lowered_memory_limit_are_evicted_for_a_new_connection() {
-    let (front, served) = one_cache("closing-cut");
+    let (front, served) = front_with_one_cache("closing-cut");
     let idle_clients: Vec<Client> = (0..60).map(|_| idle_client(&front)).collect();
     front.reload(|config| config["limits"]["memory_mb"] = json!(4));
     front.logged("the settings are in force");
     let mut new_client = front.connect();
-    hold(&mut new_client, 1);
+    send_keyed_request(&mut new_client, 1);
     next(&served).hit(b"first");
     assert_eq!(new_client.answer()[1], "ok");
     drop(idle_clients);
@@ -130,7 +130,7 @@
 fn idle_timeout_keeps_connections_with_unread_answers() {
     let unread = UnreadAnswer::start("closing-idle", |_| ());
     let mut idle = idle_client(&unread.front);
-    assert!(idle.closed(), "a connection that became idle later is closed");
+    assert!(idle.ends_without_data(), "a connection that became idle later is closed");
     unread.assert_both_answers_arrive();
 }
 
@@ -141,7 +141,7 @@
     let unread = UnreadAnswer::start("closing-end", |_| ());
     let mut idle = idle_client(&unread.front);
     unread.front.signal("-TERM");
-    assert!(idle.closed(), "an idle connection is closed");
+    assert!(idle.ends_without_data(), "an idle connection is closed");
     unread.assert_both_answers_arrive();
 }
 
@@ -152,8 +152,8 @@
     let tmp = std::env::temp_dir().join(format!("onyxyoke-tmp-replaced-{}", std::process::id()));
     let unread = start_replaceable(&tmp, "closing-replaced", |front| narrow(front.address));
     let mut silent = unread.front.connect();
-    replaced(&unread.front, &tmp);
-    assert!(silent.closed(), "a connection without any request is closed");
+    replace_front(&unread.front, &tmp);
+    assert!(silent.ends_without_data(), "a connection without any request is closed");
     unread.assert_both_answers_arrive();
     std::fs::remove_dir_all(tmp).unwrap();
 }
@@ -169,8 +169,8 @@
         let name = format!("closing-just-sent-{round}");
         let unread = start_replaceable(&tmp, &name, |front| TcpStream::connect(front.address).unwrap());
         let mut silent = unread.front.connect();
-        replaced(&unread.front, &tmp);
-        assert!(silent.closed(), "a connection without any request is closed");
+        replace_front(&unread.front, &tmp);
+        assert!(silent.ends_without_data(), "a connection without any request is closed");
         if began.elapsed() < TIME_TO_READ {
             unread.assert_both_answers_arrive();
             std::fs::remove_dir_all(tmp).unwrap();
@@ -184,13 +184,13 @@
 fn start_replaceable(
     tmp: &std::path::Path,
     name: &str,
-    connect: impl Fn(&Node) -> TcpStream,
+    connect: impl Fn(&PlatformFront) -> TcpStream,
 ) -> UnreadAnswer {
     std::fs::create_dir_all(tmp).unwrap();
     let (cache, served) = cache_node();
     let members = vec![member(EDGE, "standard", cache), member(ORIGIN, "origin", cache)];
     let admin_on = |config: &mut Value| config["admin_addr"] = json!("127.0.0.1:0");
-    let front = Node::start_in(name, members, admin_on, Some(tmp));
+    let front = PlatformFront::start_in_tmpdir(name, members, admin_on, Some(tmp));
     let client = Client::new(connect(&front));
     UnreadAnswer::request(front, served, client)
 }
--- a/tests/closing_busy.rs
+++ b/tests/closing_busy.rs
@@ -32,10 +32,10 @@
 
 /// Sends requests without a pause, and SIGTERM to the front, until the front closes the connection in order.
 /// Returns how many answers of each kind the client got.
-fn request_until_closed(front: &Node) -> BTreeMap<String, u64> {
+fn request_until_closed(front: &PlatformFront) -> BTreeMap<String, u64> {
     let mut client = front.connect();
     let mut answers = BTreeMap::new();
-    (1..=IN_FLIGHT).for_each(|tag| client.ask(&tag.to_string(), tag, ""));
+    (1..=IN_FLIGHT).for_each(|tag| client.send_request(&tag.to_string(), tag, ""));
     let mut last_tag = IN_FLIGHT;
     while !client.reader.fill_buf().expect("the connection does not end in order").is_empty() {
         let word = client.answer().swap_remove(1);
@@ -44,7 +44,7 @@
             front.signal("-TERM");
         }
         last_tag += 1;
-        client.ask(&last_tag.to_string(), last_tag, "");
+        client.send_request(&last_tag.to_string(), last_tag, "");
     }
     answers
 }
@@ -53,7 +53,7 @@
 /// would go on failing its requests (for 0.3 s), though a successor or another front could serve them.
 #[test]
 fn busy_connection_is_refused_and_closed_at_shutdown() {
-    let (mut front, served) = one_cache("closing-busy");
+    let (mut front, served) = front_with_one_cache("closing-busy");
     answer_one_behind(served);
     let answers = request_until_closed(&front);
     assert!(front.child.wait().unwrap().success());
--- a/tests/closing_crossings.rs
+++ b/tests/closing_crossings.rs
@@ -40,12 +40,12 @@
 const MAX_ANSWERS: u64 = 100;
 
 /// Starts a front whose memory is scarce once it has an idle connection.
-fn start_with_scarce_memory(name: &str) -> (Node, Receiver<Served>) {
-    let (front, served) = one_cache(name);
+fn start_with_scarce_memory(name: &str) -> (PlatformFront, Receiver<Served>) {
+    let (front, served) = front_with_one_cache(name);
     let mut idle = idle_client(&front);
     // Less than the program needs by itself, so that none of the shared memory is free.
     front.reload(|config| config["limits"]["memory_mb"] = json!(4));
-    assert!(idle.closed(), "scarce memory closes idle connections");
+    assert!(idle.ends_without_data(), "scarce memory closes idle connections");
     (front, served)
 }
 
@@ -62,7 +62,7 @@
 }
 
 /// Waits until the front has counted this many served requests.
-fn await_served_count(front: &Node, served: u64) {
+fn await_served_count(front: &PlatformFront, served: u64) {
     let counter = format!(" served={served} ");
     eventually("the front counts the answer", || {
         front.signal("-USR1");
@@ -78,11 +78,11 @@
 /// Opens idle connections under scarce memory, and sends these bytes on the first of them just before the
 /// front makes a close request for it. Returns the first and the later connections, or `None` if the machine
 /// was too slow.
-fn send_during_close_request(front: &Node, bytes: &[u8]) -> Option<(Client, Vec<Client>)> {
+fn send_during_close_request(front: &PlatformFront, bytes: &[u8]) -> Option<(Client, Vec<Client>)> {
     let began = Instant::now();
     let mut first = idle_client(front);
     let later = (0..IDLE_CLIENTS).map(|_| idle_client(front)).collect();
-    let new_connection = at_once(front, || {
+    let new_connection = while_stopped(front, || {
         let in_time = began.elapsed() < IDLE_GRACE;
         let stopped = Instant::now();
         eventually("all have been idle for the grace period", || stopped.elapsed() > IDLE_GRACE);
@@ -100,9 +100,9 @@
 /// against carrying out the close right behind the answer, without the time to read that.
 #[test]
 fn request_during_close_request_leaves_time_to_read_its_answer() {
-    in_time(|round| {
+    retry_if_late(|round| {
         let (front, served) = start_with_scarce_memory(&format!("closing-asked-{round}"));
-        let (mut client, mut later) = send_during_close_request(&front, hold_frame(1).as_bytes())?;
+        let (mut client, mut later) = send_during_close_request(&front, keyed_request_frame(1).as_bytes())?;
         let began = Instant::now();
         next(&served).hit(b"first");
         await_served_count(&front, 1);
@@ -110,7 +110,7 @@
         if began.elapsed() > IDLE_GRACE {
             return None;
         }
-        hold(&mut client, 2);
+        send_keyed_request(&mut client, 2);
         answer_all(served, b"second");
         assert_eq!(client.answer()[3], "first");
         assert_eq!(client.answer()[3], "second");
@@ -122,9 +122,9 @@
 /// for it. Guards against a close that cuts the request off.
 #[test]
 fn partial_request_during_close_request_is_completed_and_answered() {
-    in_time(|round| {
+    retry_if_late(|round| {
         let (front, served) = start_with_scarce_memory(&format!("closing-half-asked-{round}"));
-        let whole = hold_frame(1).into_bytes();
+        let whole = keyed_request_frame(1).into_bytes();
         let (first_half, second_half) = whole.split_at(whole.len() / 2);
         let (mut client, mut later) = send_during_close_request(&front, first_half)?;
         let began = Instant::now();
@@ -140,9 +140,9 @@
 }
 
 /// A client that has sent the first half of a request, which the front has read; and the second half.
-fn send_half_a_request(front: &Node) -> (Client, Vec<u8>) {
+fn send_half_a_request(front: &PlatformFront) -> (Client, Vec<u8>) {
     let mut client = idle_client(front);
-    let whole = hold_frame(1).into_bytes();
+    let whole = keyed_request_frame(1).into_bytes();
     let (first_half, second_half) = whole.split_at(whole.len() / 2);
     client.stream.write_all(first_half).unwrap();
     // The front answers another client only after it has read the first half.
@@ -153,12 +153,12 @@
 /// Guards against closing a connection under scarce memory when half a request has arrived on it.
 #[test]
 fn scarce_memory_keeps_connections_with_partial_requests() {
-    in_time(|round| {
+    retry_if_late(|round| {
         let (front, served) = start_with_scarce_memory(&format!("closing-half-scarce-{round}"));
         let began = Instant::now();
         let (mut client, second_half) = send_half_a_request(&front);
         let mut idle = idle_client(&front);
-        assert!(idle.closed(), "a connection that became idle later is closed");
+        assert!(idle.ends_without_data(), "a connection that became idle later is closed");
         client.stream.write_all(&second_half).unwrap();
         if began.elapsed() > FRAME_TIMEOUT {
             return None;
@@ -170,16 +170,16 @@
 }
 
 /// Starts a front with [`SLOTS`] connection slots.
-fn start_with_few_slots(name: &str) -> (Node, Receiver<Served>) {
+fn start_with_few_slots(name: &str) -> (PlatformFront, Receiver<Served>) {
     let (cache, served) = cache_node();
     let members = vec![member(EDGE, "standard", cache), member(ORIGIN, "origin", cache)];
-    (Node::start(name, members, |config| config["limits"]["sockets"] = json!(SOCKETS)), served)
+    (PlatformFront::start(name, members, |config| config["limits"]["sockets"] = json!(SOCKETS)), served)
 }
 
 /// Guards against evicting a connection on which half a request has arrived, in favour of a new connection.
 #[test]
 fn slot_eviction_keeps_connections_with_partial_requests() {
-    in_time(|round| {
+    retry_if_late(|round| {
         let (front, served) = start_with_few_slots(&format!("closing-half-crowd-{round}"));
         let began = Instant::now();
         let (mut client, second_half) = send_half_a_request(&front);
@@ -208,9 +208,9 @@
 
 /// Sends requests until the kernel's send buffer is full and the front holds the rest of the answers.
 /// Returns the number of requests.
-fn fill_send_buffer(front: &Node, served: &Receiver<Served>, client: &mut Client) -> u64 {
+fn fill_send_buffer(front: &PlatformFront, served: &Receiver<Served>, client: &mut Client) -> u64 {
     let is_full = |number: &u64| {
-        hold(client, *number);
+        send_keyed_request(client, *number);
         let mut body = vec![b'y'; LARGE_BODY_BYTES - end_mark(*number).len()];
         body.extend(end_mark(*number).bytes());
         next(served).hit(&body);
@@ -222,7 +222,7 @@
 
 /// Reads a little, waits for the front to print its counters, and so on, until the front logs that it closes
 /// the connection or the time in which it would have done so is over.
-fn read_slowly(front: &Node, stream: &mut TcpStream) -> Vec<u8> {
+fn read_slowly(front: &PlatformFront, stream: &mut TcpStream) -> Vec<u8> {
     let (mut all, mut buffer) = (Vec::new(), [0; SLOW_READ_BYTES]);
     let began = Instant::now();
     while began.elapsed() < SLOW_READ_FOR {
@@ -240,8 +240,8 @@
 /// A client with unread answers sends an invalid command, reads slowly for a while, sends `further` bytes,
 /// and reads the rest. Checks that each answer arrives whole.
 fn assert_answers_arrive_after_invalid_command(name: &str, further: &[u8]) {
-    in_time(|round| {
-        let (front, served) = one_cache(&format!("{name}-{round}"));
+    retry_if_late(|round| {
+        let (front, served) = front_with_one_cache(&format!("{name}-{round}"));
         let mut client = Client::new(narrow(front.address));
         let requests = fill_send_buffer(&front, &served, &mut client);
         let began = Instant::now();
@@ -277,10 +277,10 @@
 }
 
 /// Clients with one request in flight each.
-fn active_clients(front: &Node, served: &Receiver<Served>, count: usize) -> Vec<Client> {
+fn active_clients(front: &PlatformFront, served: &Receiver<Served>, count: usize) -> Vec<Client> {
     let clients = (0..count).map(|i| {
         let mut client = front.connect();
-        hold(&mut client, i as u64 + 1);
+        send_keyed_request(&mut client, i as u64 + 1);
         // The cache node answers none of these requests.
         drop(next(served));
         client
@@ -301,10 +301,14 @@
 
 /// Opens a connection and sends a request. Returns the connection if the request reaches the cache node, and
 /// `None` if the front closes the connection instead.
-fn request_on_new_connection(front: &Node, served: &Receiver<Served>, tag: u64) -> Option<TcpStream> {
+fn request_on_new_connection(
+    front: &PlatformFront,
+    served: &Receiver<Served>,
+    tag: u64,
+) -> Option<TcpStream> {
     let mut stream = TcpStream::connect(front.address).unwrap();
     // This fails if the front has closed the connection already.
-    let _ = stream.write_all(hold_frame(tag).as_bytes());
+    let _ = stream.write_all(keyed_request_frame(tag).as_bytes());
     stream.set_nonblocking(true).unwrap();
     let mut is_served = false;
     eventually("a new connection's request, or its end", || {
@@ -332,7 +336,7 @@
 /// second new connection as well.
 #[test]
 fn slot_of_a_silent_client_goes_to_one_new_connection() {
-    in_time(|round| {
+    retry_if_late(|round| {
         let name = format!("closing-once-{round}");
         // The client never closes its side.
         let count = count_served_new_connections(&name, std::mem::forget)?;
@@ -346,7 +350,7 @@
 /// well.
 #[test]
 fn slot_of_an_active_client_goes_to_at_most_one_new_connection() {
-    in_time(|round| {
+    retry_if_late(|round| {
         let name = format!("closing-twice-{round}");
         let count = count_served_new_connections(&name, |client| {
             send_health_checks(client.stream.try_clone().unwrap());
@@ -362,7 +366,7 @@
 fn two_simultaneous_connections_evict_two_idle_ones() {
     let (front, _served) = start_with_few_slots("closing-two");
     let mut clients: Vec<Client> = (0..SLOTS).map(|_| idle_client(&front)).collect();
-    let new_clients = at_once(&front, || [front.connect(), front.connect()]);
+    let new_clients = while_stopped(&front, || [front.connect(), front.connect()]);
     clients.extend(new_clients);
     eventually("two connections are closed", || closed_count(&mut clients) >= 2);
     let open = clients.iter_mut().filter_map(|client| (!is_closed(client)).then_some(client));
@@ -378,14 +382,17 @@
 /// that an idle connection is evicted in favour of a new one.
 #[test]
 fn lingering_connection_frees_its_slot_for_a_new_connection() {
-    in_time(|round| {
+    retry_if_late(|round| {
         let (front, served) = start_with_few_slots(&format!("closing-lingers-{round}"));
         let began = Instant::now();
         let mut idle = idle_client(&front);
         let active = active_clients(&front, &served, SLOTS - 2);
         let mut lingering = front.connect();
         lingering.stream.write_all(INVALID_COMMAND).unwrap();
-        assert!(lingering.closed(), "the front closes its side, and the client's side is still open");
+        assert!(
+            lingering.ends_without_data(),
+            "the front closes its side, and the client's side is still open"
+        );
         let new_connection = request_on_new_connection(&front, &served, 100);
         front.logged("no array");
         let idle_closed = is_closed(&mut idle);
--- a/tests/closing_places.rs
+++ b/tests/closing_places.rs
@@ -37,17 +37,18 @@
 fn simultaneous_connections_with_requests_stay_within_the_descriptor_limit() {
     let (cache, served) = cache_node();
     let members = vec![member(EDGE, "standard", cache), member(ORIGIN, "origin", cache)];
-    let front = Node::start("places-crowd", members, |config| config["limits"]["sockets"] = json!(SOCKETS));
+    let front =
+        PlatformFront::start("places-crowd", members, |config| config["limits"]["sockets"] = json!(SOCKETS));
     // The front now has its connection to the cache node and all other descriptors that it opens by itself.
     let mut first = front.connect();
-    hold(&mut first, 1);
+    send_keyed_request(&mut first, 1);
     next(&served).hit(b"first");
     first.answer();
     front.signal("-STOP");
     let mut clients: Vec<Client> = (0..MANY_CONNECTIONS)
         .map(|number| {
             let mut client = front.connect();
-            hold(&mut client, 2 + number);
+            send_keyed_request(&mut client, 2 + number);
             client
         })
         .collect();
@@ -76,7 +77,8 @@
 fn flooding_client_is_evicted_for_a_new_connection() {
     let (cache, _served) = cache_node();
     let members = vec![member(EDGE, "standard", cache), member(ORIGIN, "origin", cache)];
-    let front = Node::start("places-flood", members, |config| config["limits"]["sockets"] = json!(8));
+    let front =
+        PlatformFront::start("places-flood", members, |config| config["limits"]["sockets"] = json!(8));
     let flooder = front.connect().stream;
     let (mut writes, mut reads) = (flooder.try_clone().unwrap(), flooder);
     let flooding = thread::spawn(move || {
@@ -113,7 +115,7 @@
 #[test]
 fn signed_front_evicts_idle_connections_before_one_with_a_partial_head() {
     let signer = talks();
-    let (front, _served) = stage("places-half", &[&signer], |text| {
+    let (front, _served) = start_signed_front("places-half", &[&signer], |text| {
         assert!(text.contains("sockets = 1024"));
         text.replace("sockets = 1024", "sockets = 64")
     });
@@ -153,7 +155,7 @@
     let members = vec![member(EDGE, "standard", cache), member(ORIGIN, "origin", cache)];
     // A round proves nothing if the machine is so slow that the time to read is over.
     for round in 0..5 {
-        let front = Node::start(&format!("places-memory-{round}"), members.clone(), |_| ());
+        let front = PlatformFront::start(&format!("places-memory-{round}"), members.clone(), |_| ());
         // The front has accepted each of them, and answered it, before the limit is lowered.
         let mut clients: Vec<Client> = (0..40).map(|_| idle_client(&front)).collect();
         front.reload(|config| config["limits"]["memory_mb"] = json!(4));
@@ -217,8 +219,9 @@
 fn new_connection_gets_a_slot_before_answers_are_acknowledged() {
     let (cache, _served) = cache_node();
     let members = vec![member(EDGE, "standard", cache), member(ORIGIN, "origin", cache)];
-    let front =
-        Node::start("places-unacknowledged", members, |config| config["limits"]["sockets"] = json!(8));
+    let front = PlatformFront::start("places-unacknowledged", members, |config| {
+        config["limits"]["sockets"] = json!(8)
+    });
     let mut clients = Vec::new();
     // A refused client would get no answer.
     for _ in 0..NEW_CONNECTIONS {
@@ -232,7 +235,7 @@
 
 /// A front without memory for new connections, which has slots for a few of them.
 struct FrontWithoutMemory {
-    front: Node,
+    front: PlatformFront,
     /// When its clients began to get their last answers.
     answered_since: Instant,
     /// The clients that were answered then.
@@ -243,7 +246,8 @@
     fn start(name: &str) -> Self {
         let (cache, _served) = cache_node();
         let members = vec![member(EDGE, "standard", cache), member(ORIGIN, "origin", cache)];
-        let front = Node::start(name, members, |config| config["limits"]["sockets"] = json!(MANY_SOCKETS));
+        let front =
+            PlatformFront::start(name, members, |config| config["limits"]["sockets"] = json!(MANY_SOCKETS));
         let mut answered: Vec<Client> = (0..ANSWERED_CLIENTS).map(|_| idle_client(&front)).collect();
         front.reload(|config| config["limits"]["memory_mb"] = json!(4));
         front.logged("settings are in force");
--- a/tests/closing_small.rs
+++ b/tests/closing_small.rs
@@ -52,20 +52,20 @@
 
 /// The front that the platform configures, with its clients.
 struct Platform<'a> {
-    front: &'a Node,
+    front: &'a PlatformFront,
     slow: Client,
     witness: Client,
 }
 
 impl<'a> Platform<'a> {
-    fn new(front: &'a Node) -> Self {
+    fn new(front: &'a PlatformFront) -> Self {
         Platform { front, slow: Client::new(narrow(front.address)), witness: front.connect() }
     }
 }
 
 impl Harness for Platform<'_> {
     fn send_request(&mut self, number: u64) {
-        hold(&mut self.slow, number);
+        send_keyed_request(&mut self.slow, number);
     }
 
     fn counters(&self) -> String {
@@ -91,14 +91,14 @@
 
 /// The front for signed links, with its clients.
 struct Signed<'a> {
-    front: &'a Front,
+    front: &'a SignedFront,
     request: String,
     slow: TcpStream,
     witness: TcpStream,
 }
 
 impl<'a> Signed<'a> {
-    fn new(front: &'a Front, signer: &Signer) -> Self {
+    fn new(front: &'a SignedFront, signer: &Signer) -> Self {
         let request = get(&signer.link("/talks/7.mp4"));
         let witness = TcpStream::connect(front.address).unwrap();
         Signed { front, request, slow: narrow(front.address), witness }
@@ -331,14 +331,14 @@
 
 /// Runs a test with the front that the platform configures: `close_idle` makes the front close an idle
 /// connection once the slow client's receive buffer is full, and the slow client's connection must stay open.
-fn run_platform(name: &str, change: fn(&mut Value), close_idle: impl Fn(&Node, &mut Client) + Sync) {
+fn run_platform(name: &str, change: fn(&mut Value), close_idle: impl Fn(&PlatformFront, &mut Client) + Sync) {
     run_all(name, |name, fill| {
         let tmp = std::env::temp_dir().join(format!("onyxyoke-tmp-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&tmp).unwrap();
         let _cleanup = FolderCleanup(tmp.clone());
         let (cache, served) = cache_node();
         let members = vec![member(EDGE, "standard", cache), member(ORIGIN, "origin", cache)];
-        let front = Node::start_in(name, members, change, Some(&tmp));
+        let front = PlatformFront::start_in_tmpdir(name, members, change, Some(&tmp));
         let slow_client = SlowClient::start(Platform::new(&front), served, fill);
         close_idle(&front, &mut idle_client(&front));
         slow_client.assert_all_answers_arrive();
@@ -363,7 +363,7 @@
         |front, idle| {
             // Less than the program needs by itself, so that none of the shared memory is free.
             front.reload(|config| config["limits"]["memory_mb"] = json!(4));
-            assert!(idle.closed(), "a connection that became idle later is closed");
+            assert!(idle.ends_without_data(), "a connection that became idle later is closed");
         },
     );
 }
@@ -391,7 +391,7 @@
         "small-idle",
         |_| (),
         |_, idle| {
-            assert!(idle.closed(), "a connection that became idle later is closed");
+            assert!(idle.ends_without_data(), "a connection that became idle later is closed");
         },
     );
 }
@@ -404,7 +404,7 @@
         |_| (),
         |front, idle| {
             front.signal("-TERM");
-            assert!(idle.closed(), "an idle connection is closed");
+            assert!(idle.ends_without_data(), "an idle connection is closed");
         },
     );
 }
@@ -414,8 +414,8 @@
 fn replaced_front_keeps_connections_with_small_unsent_answers() {
     let admin = |config: &mut Value| config["admin_addr"] = json!("127.0.0.1:0");
     run_platform("small-replaced", admin, |front, idle| {
-        replaced(front, front.tmp.as_deref().unwrap());
-        assert!(idle.closed(), "a connection that became idle later is closed");
+        replace_front(front, front.tmp.as_deref().unwrap());
+        assert!(idle.ends_without_data(), "a connection that became idle later is closed");
     });
 }
 
@@ -431,7 +431,7 @@
     let (cache, served) = cache_node();
     let members = vec![member(EDGE, "standard", cache), member(ORIGIN, "origin", cache)];
     let admin = |config: &mut Value| config["admin_addr"] = json!("127.0.0.1:0");
-    let front = Node::start_in(name, members, admin, Some(&tmp));
+    let front = PlatformFront::start_in_tmpdir(name, members, admin, Some(&tmp));
     let fill = Fill::Beyond { seed: SEEDS[0], further: 0 };
     let mut slow_client = SlowClient::start(Platform::new(&front), served, fill);
     let written_at = Instant::now();
@@ -440,8 +440,8 @@
     assert!(!slow_client.has_received(last), "test setup: the last answer was sent already");
     let read_at = Instant::now();
     slow_client.read_answers();
-    replaced(&front, &tmp);
-    assert!(slow_client.harness.slow.closed(), "the connection is closed after the time to read");
+    replace_front(&front, &tmp);
+    assert!(slow_client.harness.slow.ends_without_data(), "the connection is closed after the time to read");
     let time_to_read = read_at.elapsed();
     assert!(time_to_read >= MIN_TIME_TO_READ, "the client had {time_to_read:?} to read");
 }
@@ -451,7 +451,7 @@
 fn signed_front_shutdown_keeps_connections_with_small_unsent_answers() {
     run_all("small-signed", |name, fill| {
         let signer = talks();
-        let (front, served) = stage(name, &[&signer], same);
+        let (front, served) = start_signed_front(name, &[&signer], unchanged);
         let slow_client = SlowClient::start(Signed::new(&front, &signer), served, fill);
         let mut idle = front.send(&get("/talks/unsigned"));
         assert_eq!(status(read_message(&mut idle)).0, 401);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -61,7 +61,7 @@
 }
 
 /// A director and its clock.
-pub struct Stage {
+pub struct DirectorHarness {
     pub director: Director,
     /// The time that is passed with each event (seconds).
     pub now: f64,
@@ -72,7 +72,7 @@
 
 /// An attempt that the director ordered.
 #[derive(Debug, Clone, Copy)]
-pub struct Sent {
+pub struct SentAttempt {
     pub id: u32,
     pub node: u64,
     pub source: u64,
@@ -81,14 +81,18 @@
     pub join: bool,
 }
 
-impl Stage {
+impl DirectorHarness {
     pub fn new(settings: Settings, nodes: &[Node]) -> Self {
-        Stage::seeded(1, settings, nodes)
+        DirectorHarness::seeded(1, settings, nodes)
     }
 
     pub fn seeded(seed: u64, settings: Settings, nodes: &[Node]) -> Self {
-        let mut stage =
-            Stage { director: Director::new(seed, settings), now: 100.0, patience: 5.0, last_request: 0 };
+        let mut stage = DirectorHarness {
+            director: Director::new(seed, settings),
+            now: 100.0,
+            patience: 5.0,
+            last_request: 0,
+        };
         stage.list(ListKind::Cached, nodes);
         stage
     }
@@ -121,13 +125,20 @@
     }
 
     /// Sends a request and returns its first attempt; panics if there is none.
-    pub fn fetch(&mut self, object: u64, kb: f64) -> Sent {
+    pub fn fetch(&mut self, object: u64, kb: f64) -> SentAttempt {
         let (_, actions) = self.ask(object, kb);
-        *sent(&actions).first().unwrap_or_else(|| panic!("no attempt was ordered: {actions:?}"))
+        *sent_attempts(&actions).first().unwrap_or_else(|| panic!("no attempt was ordered: {actions:?}"))
     }
 
     /// Ends an attempt `took` seconds later.
-    pub fn end(&mut self, sent: Sent, number: u16, outcome: Outcome, note: Note, took: f64) -> Vec<Action> {
+    pub fn end(
+        &mut self,
+        sent: SentAttempt,
+        number: u16,
+        outcome: Outcome,
+        note: Note,
+        took: f64,
+    ) -> Vec<Action> {
         self.now += took;
         self.event(Event::AttemptEnd {
             request: RequestId(sent.id),
@@ -143,7 +154,7 @@
     }
 
     /// Fires the timer that was set for the first attempt of a request.
-    pub fn first_attempt_alarm(&mut self, request: u32) -> Vec<Action> {
+    pub fn fire_first_attempt_timer(&mut self, request: u32) -> Vec<Action> {
         self.event(Event::TimerFired { token: u64::from(request) << 16 })
     }
 
@@ -154,14 +165,14 @@
 
     /// Requests 400 other objects once each, so that an object which the test requests afterwards is not hot
     /// and has one home.
-    pub fn mixed(&mut self) {
+    pub fn request_many_objects(&mut self) {
         for object in 1_000_000..1_000_400 {
             self.hit(object, 50.0);
         }
     }
 
     /// Sends a request that is a hit at the cache it is sent to.
-    pub fn hit(&mut self, object: u64, kb: f64) -> Sent {
+    pub fn hit(&mut self, object: u64, kb: f64) -> SentAttempt {
         let sent = self.fetch(object, kb);
         self.end(sent, 0, Outcome::Ok, Note::Hit, kb / 1000.0);
         sent
@@ -169,9 +180,9 @@
 }
 
 /// The attempts among these actions.
-pub fn sent(actions: &[Action]) -> Vec<Sent> {
+pub fn sent_attempts(actions: &[Action]) -> Vec<SentAttempt> {
     let attempt = |action: &Action| match *action {
-        Action::Fetch { request, node, source, age, options, .. } => Some(Sent {
+        Action::Fetch { request, node, source, age, options, .. } => Some(SentAttempt {
             id: request.0,
             node: node.0,
             source: source.0,
@@ -185,7 +196,7 @@
 }
 
 /// The delay of the first timer that was set (seconds).
-pub fn alarm_delay(actions: &[Action]) -> Option<f64> {
+pub fn timer_delay(actions: &[Action]) -> Option<f64> {
     actions.iter().find_map(|action| match action {
         Action::SetTimer { after, .. } => Some(*after),
         _ => None,
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -24,7 +24,7 @@
 }
 
 /// Waits until the program exits in order. Returns the value of a counter in the line that it prints then.
-fn counter_at_exit(front: &mut Node, name: &str) -> u64 {
+fn counter_at_exit(front: &mut PlatformFront, name: &str) -> u64 {
     let line = front.logged("at exit: counters");
     assert_eq!(front.child.wait().unwrap().code(), Some(0));
     let mark = format!("{name}=");
@@ -53,13 +53,13 @@
 /// against sending that request to a cache node, and against a reset in place of an orderly end.
 #[test]
 fn request_after_an_idle_connection_is_closed_is_not_sent_on() {
-    let (mut front, served) = one_cache("crossing-rest");
+    let (mut front, served) = front_with_one_cache("crossing-rest");
     let mut client = front.connect();
-    client.ask("1", 0xa1, "");
+    client.send_request("1", 0xa1, "");
     next(&served).hit(b"x");
     assert_eq!(client.answer()[1], "ok");
     front.signal("-TERM");
-    assert!(client.closed(), "the front closes the idle connection");
+    assert!(client.ends_without_data(), "the front closes the idle connection");
     client.stream.write_all(&request_frame(2, 0xa2)).unwrap();
     client.stream.shutdown(Shutdown::Write).unwrap();
     assert_eq!(read_to_end(&mut client.stream), Ok(Vec::new()));
@@ -74,7 +74,7 @@
 fn all_idle_connections_end_in_order_at_shutdown() {
     let (cache, served) = cache_node();
     let members = vec![member(EDGE, "standard", cache), member(ORIGIN, "origin", cache)];
-    let mut front = Node::start("crossing-many", members, |c| c["limits"]["sockets"] = json!(64));
+    let mut front = PlatformFront::start("crossing-many", members, |c| c["limits"]["sockets"] = json!(64));
     let mut clients: Vec<Client> = (0..20).map(|_| front.connect()).collect();
     for client in &mut clients {
         client.send(&["HEALTH", "8", ""]);
@@ -84,7 +84,7 @@
     // Each client writes once it has seen the end, while the front waits for all clients to close their
     // sides.
     for client in &mut clients {
-        assert!(client.closed());
+        assert!(client.ends_without_data());
         client.stream.write_all(&request_frame(2, 0xa2)).unwrap();
     }
     for client in &mut clients {
@@ -99,9 +99,9 @@
 /// against a close that cuts the answer off.
 #[test]
 fn request_in_flight_at_sigterm_is_answered_whole() {
-    let (mut front, served) = one_cache("crossing-taken");
+    let (mut front, served) = front_with_one_cache("crossing-taken");
     let mut client = Client::new(narrow(front.address));
-    client.ask("1", 0xa1, "");
+    client.send_request("1", 0xa1, "");
     let mut request = next(&served);
     front.signal("-TERM");
     front.logged("onyxyoke").clear();
@@ -109,14 +109,14 @@
     request.hit(&body);
     let answer = client.answer();
     assert_eq!((&*answer[1], answer[3].len()), ("ok", body.len()));
-    assert!(client.closed());
+    assert!(client.ends_without_data());
     assert_eq!(counter_at_exit(&mut front, "served"), 1);
 }
 
 /// SIGTERM arrives between the two halves of a request. Guards against closing the connection as an idle one.
 #[test]
 fn request_whose_halves_arrive_around_sigterm_is_answered() {
-    let (mut front, served) = one_cache("crossing-half");
+    let (mut front, served) = front_with_one_cache("crossing-half");
     let mut client = front.connect();
     client.send(&["HEALTH", "8", ""]);
     assert_eq!(client.answer()[..2], ["8", "yes"]);
@@ -129,11 +129,11 @@
         other.answer()[1] == "no"
     });
     // The other connection is idle and gets closed: after that the front waits only for the partial request.
-    assert!(other.closed());
+    assert!(other.ends_without_data());
     client.stream.write_all(&frame[40..]).unwrap();
     next(&served).hit(b"x");
     assert_eq!(client.answer()[1], "ok");
-    assert!(client.closed());
+    assert!(client.ends_without_data());
     assert_eq!(counter_at_exit(&mut front, "served"), 1);
 }
 
@@ -142,7 +142,7 @@
 /// node.
 #[test]
 fn unread_request_of_a_flooding_client_that_left_is_not_sent_on() {
-    let (mut front, served) = one_cache("crossing-flood");
+    let (mut front, served) = front_with_one_cache("crossing-flood");
     let mut client = front.connect();
     let health: Vec<u8> =
         (0..900).flat_map(|_| b"*3\r\n$6\r\nHEALTH\r\n$1\r\n8\r\n$0\r\n\r\n".to_vec()).collect();
@@ -159,9 +159,9 @@
 /// missing or repeated cancel, and against a further attempt for a client that is gone.
 #[test]
 fn request_of_a_disconnected_client_gets_no_further_attempt() {
-    let (mut front, [(_, at_one), (_, at_two)]) = two_caches("crossing-gone");
+    let (mut front, [(_, at_one), (_, at_two)]) = front_with_two_caches("crossing-gone");
     let mut client = front.connect();
-    client.ask("1", 0xa1, "");
+    client.send_request("1", 0xa1, "");
     let (mut request, _) = next_at_either(&at_one, &at_two);
     drop(client);
     // The cache node fails the request only after it has got the cancel. Without that, the failure would be a
@@ -179,12 +179,12 @@
 /// lost or cause an exit with an error.
 #[test]
 fn sigterm_before_the_front_is_ready_ends_it_in_order() {
-    let mut front = Node::start("crossing-early", Vec::new(), |_| ());
+    let mut front = PlatformFront::start("crossing-early", Vec::new(), |_| ());
     let mut client = front.connect();
     client.send(&["HEALTH", "8", ""]);
     assert_eq!(client.answer()[..2], ["8", "no"], "not ready");
     ["-HUP", "-TERM", "-HUP", "-TERM"].iter().for_each(|s| front.signal(s));
-    assert!(client.closed());
+    assert!(client.ends_without_data());
     assert_eq!(counter_at_exit(&mut front, "requests"), 0);
 }
 
@@ -193,7 +193,7 @@
 /// know of a drain (7 s), and close the stalled one, so that late events on that are not applied.
 #[test]
 fn stalled_watch_is_reopened_from_the_last_event() {
-    let (front, _served) = one_cache("crossing-silent");
+    let (front, _served) = front_with_one_cache("crossing-silent");
     let (last, mut stalled) = front.feeds.recv_timeout(PATIENCE).unwrap();
     assert_eq!(last, 3);
     let began = Instant::now();
@@ -221,7 +221,7 @@
 /// using the node while it drains, and against a state of the old node that keeps the new one unused.
 #[test]
 fn node_at_the_address_of_a_drained_node_is_used() {
-    let (front, [(cache, at_cache), (_, at_other)]) = two_caches("crossing-returns");
+    let (front, [(cache, at_cache), (_, at_other)]) = front_with_two_caches("crossing-returns");
     let (_, mut feed) = front.feeds.recv_timeout(PATIENCE).unwrap();
     let record = |id: u32, state: u8| list_record(id, state, cache);
     let mut client = front.connect();
@@ -262,7 +262,7 @@
     let start = |name: &str| {
         let members = vec![member(EDGE, "standard", cache), member(ORIGIN, "origin", cache)];
         let free_address = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-        let front = Node::start_in(
+        let front = PlatformFront::start_in_tmpdir(
             name,
             members,
             |config| {
@@ -304,7 +304,7 @@
         earlier.answer()[1] == "no"
     });
     let mut late = first.connect();
-    late.ask("1", 0xb1, "");
+    late.send_request("1", 0xb1, "");
     next(&served).hit(b"late");
     assert_eq!(late.answer()[1], "ok");
     assert_eq!(counter_at_exit(&mut first, "served"), 1);
@@ -313,7 +313,7 @@
 }
 
 /// Waits until the front's counters contain this text.
-fn await_counter(front: &Node, text: &str) {
+fn await_counter(front: &PlatformFront, text: &str) {
     eventually(text, || {
         front.signal("-USR1");
         format!("{} ", front.logged("counters")).contains(text)
@@ -329,11 +329,11 @@
         member(EDGE, "standard", unresponsive.address()),
         member(ORIGIN, "origin", unresponsive.address()),
     ];
-    let mut front = Node::start("crossing-late-gone", members, |config| {
+    let mut front = PlatformFront::start("crossing-late-gone", members, |config| {
         config["settings"]["caps"]["connect-timeout"] = json!(10.0);
     });
     let mut client = front.connect();
-    client.ask("1", 0xa1, "");
+    client.send_request("1", 0xa1, "");
     await_counter(&front, " sent=1 written=0 ");
     drop(client);
     await_counter(&front, " aborted=1 ");
@@ -352,11 +352,11 @@
         member(EDGE, "standard", unresponsive.address()),
         member(ORIGIN, "origin", unresponsive.address()),
     ];
-    let front = Node::start("crossing-late", members, |config| {
+    let front = PlatformFront::start("crossing-late", members, |config| {
         config["settings"]["caps"]["connect-timeout"] = json!(10.0);
     });
     let mut client = front.connect();
-    client.ask("1", 0xa1, "");
+    client.send_request("1", 0xa1, "");
     await_counter(&front, " sent=1 written=0 ");
     let served = cache_node_at(unresponsive.hears());
     next(&served).hit(b"late");
@@ -370,14 +370,14 @@
     let unresponsive = UnresponsiveClient::new();
     let (other, at_other) = cache_node();
     let members = vec![member(EDGE, "standard", unresponsive.address()), member(ORIGIN, "origin", other)];
-    let mut front = Node::start("crossing-late-drain", members, |config| {
+    let mut front = PlatformFront::start("crossing-late-drain", members, |config| {
         config["settings"]["caps"]["connect-timeout"] = json!(10.0);
     });
     let (_, mut feed) = front.feeds.recv_timeout(PATIENCE).unwrap();
     let mut client = front.connect();
-    client.ask("1", 0xa1, "");
+    client.send_request("1", 0xa1, "");
     await_counter(&front, " sent=1 written=0 ");
-    let records = [list_record(EDGE, 1, unresponsive.address()), list_record(OTHER, 0, other)].concat();
+    let records = [list_record(EDGE, 1, unresponsive.address()), list_record(OTHER_EDGE, 0, other)].concat();
     feed.write_all(&list_frame(4, &records)).unwrap();
     next(&at_other).hit(b"elsewhere");
     assert_eq!(client.answer()[3], "elsewhere");
@@ -405,7 +405,7 @@
 /// arrives on the old watch, is discarded.
 #[test]
 fn coordinator_change_within_an_event_applies_each_event_once() {
-    let (front, _served) = one_cache("crossing-moves");
+    let (front, _served) = front_with_one_cache("crossing-moves");
     let (_, mut old) = front.feeds.recv_timeout(PATIENCE).unwrap();
     let purge = |number: u64| {
         let payload = [&17u16.to_be_bytes()[..], &1u64.to_be_bytes()].concat();
@@ -432,7 +432,7 @@
 /// say so.
 #[test]
 fn reload_that_renames_and_reorders_classes_leaves_those_in_service() {
-    let (front, served) = one_cache("crossing-classes");
+    let (front, served) = front_with_one_cache("crossing-classes");
     let mut client = front.connect();
     let send_request = |client: &mut Client, tag: &str, class: &str| {
         let fields = format!("call=00000000000000{tag:0>2},ttl=9000,row={OBJECT},slice=0,set=17,heap=10.5");
@@ -473,7 +473,7 @@
 fn front_with_all_slots_taken_recovers_when_the_coordinator_returns() {
     let (cache, served) = cache_node();
     let unresponsive = UnresponsiveClient::new();
-    let front = Node::start("crossing-full", Vec::new(), |config| {
+    let front = PlatformFront::start("crossing-full", Vec::new(), |config| {
         config["admin_addr"] = json!("127.0.0.1:0");
         config["limits"]["sockets"] = json!(192);
         config["coordinator"] = json!(unresponsive.address());
@@ -495,7 +495,7 @@
             clients.push(stream);
         }
     }
-    let processor_ns = |front: &Node| {
+    let processor_ns = |front: &PlatformFront| {
         let stat = std::fs::read_to_string(format!("/proc/{}/schedstat", front.child.id())).unwrap();
         stat.split(' ').next().unwrap().parse::<u64>().unwrap()
     };
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -8,17 +8,17 @@
 const DIRECTORS: u16 = 50;
 
 /// The directors of one location, each with its own seed and number.
-fn directors(settings: &Settings, nodes: &[Node]) -> Vec<Stage> {
+fn directors(settings: &Settings, nodes: &[Node]) -> Vec<DirectorHarness> {
     let director = |me| {
         let settings = Settings { director_number: me, directors: DIRECTORS, ..settings.clone() };
-        Stage::seeded(u64::from(me) + 1, settings, nodes)
+        DirectorHarness::seeded(u64::from(me) + 1, settings, nodes)
     };
     (0..DIRECTORS).map(director).collect()
 }
 
 /// Each director requests `count` objects that were not requested before. Cache 10 answers `slowdown` times
 /// slower than the others. Returns the number of requests that went to cache 10.
-fn request_round(fleet: &mut [Stage], first: u64, count: u64, slowdown: f64) -> u64 {
+fn request_round(fleet: &mut [DirectorHarness], first: u64, count: u64, slowdown: f64) -> u64 {
     let mut at_slow_cache = 0;
     for stage in fleet {
         for object in first..first + count {
@@ -96,7 +96,7 @@
             stage.event(Event::Request(request))
         };
         assert!(refused(&ask(1000, 3.0)), "the transfer takes four seconds, longer than the deadline");
-        assert_eq!(sent(&ask(1001, 30.0)).len(), 1);
+        assert_eq!(sent_attempts(&ask(1001, 30.0)).len(), 1);
     }
 }
 
@@ -108,8 +108,10 @@
         // The link grows with the number of directors, so that its estimated use is the same.
         let link = 20_000.0 * f64::from(directors);
         let base = Settings { directors, directors_by_zone: vec![0, 0, directors], ..settings() };
-        let mut stage =
-            Stage::new(Settings { zone_link_kb_per_s: vec![0.0, 0.0, link], ..base }, &small_fleet()[..2]);
+        let mut stage = DirectorHarness::new(
+            Settings { zone_link_kb_per_s: vec![0.0, 0.0, link], ..base },
+            &small_fleet()[..2],
+        );
         stage.list(ListKind::Delta, &[parent(20), origin(30)]);
         stage.patience = 60.0;
         let mut sizes = (0..).map(|i| 100.0 * 1.1f64.powi(i));
@@ -148,7 +150,7 @@
             }
             let (_, actions) = stage.ask(me as u64 * 1000 + step, 50.0);
             refusals += u32::from(refused(&actions));
-            for attempt in sent(&actions) {
+            for attempt in sent_attempts(&actions) {
                 assert!(
                     !old[..replaced].iter().any(|n| n.id.0 == attempt.node),
                     "a draining node gets a new request"
--- a/tests/memory.rs
+++ b/tests/memory.rs
@@ -11,11 +11,11 @@
 
 /// Starts a front with this `memory` table and a cache node that answers each request with as many KB as the
 /// number of the requested part, until the front ends.
-fn front(name: &str, memory_mb: usize, memory: Value) -> Node {
+fn front(name: &str, memory_mb: usize, memory: Value) -> PlatformFront {
     let (cache, served) = cache_node();
     thread::spawn(move || answer_all(&served));
     let members = vec![member(EDGE, "standard", cache), member(ORIGIN, "origin", cache)];
-    Node::start(name, members, |config| {
+    PlatformFront::start(name, members, |config| {
         config["limits"]["memory_mb"] = json!(memory_mb);
         config["memory"] = memory.clone();
         // A long deadline, so that no result depends on the speed of the machine.
@@ -61,7 +61,7 @@
 
 /// Sends a request on a connection of its own, and on a new one if the front closed that one before it read
 /// the request: a front may close a connection without an open request, and does so while memory is scarce.
-fn get(node: &Node, tag: u64, kb: u64) -> (String, usize) {
+fn get(node: &PlatformFront, tag: u64, kb: u64) -> (String, usize) {
     for retry in 0..5 {
         let mut client = node.connect();
         let bytes = request(tag + 100_000 * retry, "media", kb, 0);
@@ -75,7 +75,7 @@
 
 /// Sends requests from clients that hardly read, until the system's buffers are full and `unread` bytes are
 /// held in the front. Returns the number of answers that each client has not read yet.
-fn fill_unread(node: &Node, slow: &mut [Client], unread: f64) -> u64 {
+fn fill_unread(node: &PlatformFront, slow: &mut [Client], unread: f64) -> u64 {
     let (mut sent, mut read) = (0, 0);
     eventually("unread answers fill the account", || {
         for (i, client) in slow.iter_mut().enumerate() {
@@ -169,7 +169,7 @@
     let (cache, served) = cache_node();
     let members = vec![member(EDGE, "standard", cache), member(ORIGIN, "origin", cache)];
     let memory = json!({"waiting": {"cap_mb": 0.08, "guarantee_mb": 0.08, "reserve_mb": 0.03}});
-    let node = Node::start("waiting", members, |config| config["memory"] = memory.clone());
+    let node = PlatformFront::start("waiting", members, |config| config["memory"] = memory.clone());
     let mut clients: Vec<Client> = (0..3).map(|_| node.connect()).collect();
     for (i, client) in clients.iter_mut().enumerate() {
         (1..=16).for_each(|tag| client.write(&request(100 * i as u64 + tag, "media", 1, 0)));
@@ -248,7 +248,7 @@
     let signer = Signer::new("t1", "talks.example.org", b"the talks team's secret, 32 byte");
     let (cache, served) = cache_node();
     let (server, asked) = discovery(vec![("standard", cache), ("origin", cache)]);
-    let front = stand_ins::Front::start("heads", &[&signer], server, |text| {
+    let front = stand_ins::SignedFront::start("heads", &[&signer], server, |text| {
         text.replace(
             "[xds]",
             "[memory]\nsigned = { cap_mb = 4, guarantee_mb = 1, reserve_mb = 0.7 }\n\n[xds]",
--- a/tests/operate.rs
+++ b/tests/operate.rs
@@ -11,16 +11,16 @@
 use std::time::{Duration, Instant};
 
 /// Starts a front with one cache node; returns the node's requests and the address of the operators' socket.
-fn front(name: &str) -> (Node, std::sync::mpsc::Receiver<Served>, SocketAddr) {
+fn front(name: &str) -> (PlatformFront, std::sync::mpsc::Receiver<Served>, SocketAddr) {
     let (cache, served) = cache_node();
     let members = vec![member(EDGE, "standard", cache), member(ORIGIN, "origin", cache)];
-    let node = Node::start(name, members, |config| config["admin_addr"] = json!("127.0.0.1:0"));
+    let node = PlatformFront::start(name, members, |config| config["admin_addr"] = json!("127.0.0.1:0"));
     let admin = admin_of(&node);
     (node, served, admin)
 }
 
 /// Address of a front's operators' socket, read from its log.
-fn admin_of(node: &Node) -> SocketAddr {
+fn admin_of(node: &PlatformFront) -> SocketAddr {
     node.logged("answers operators on").rsplit(' ').next().unwrap().parse().unwrap()
 }
 
@@ -51,12 +51,12 @@
     assert_eq!(series_value(&before, "front_success{tier=\"media\"}"), 0);
     assert_eq!(series_value(&before, "front_hosts_listed"), 2);
     let mut client = node.connect();
-    client.ask("1", 1, "");
+    client.send_request("1", 1, "");
     next(&served).hit(b"12345");
     assert_eq!(client.answer()[1], "ok");
     client.send(&["REQ", "2", "media", "ttl=100", ""]);
     assert_eq!(client.answer()[1], "fault");
-    (0..33).for_each(|i| client.ask(&(100 + i).to_string(), 0xb00 + i, ""));
+    (0..33).for_each(|i| client.send_request(&(100 + i).to_string(), 0xb00 + i, ""));
     assert_eq!(client.answer()[..2], ["132", "full"]);
     let after = call(admin, "counters");
     assert_eq!(series_value(&after, "front_success{tier=\"media\"}"), 1);
@@ -126,12 +126,12 @@
     let members = || {
         vec![
             member(EDGE, "standard", edge),
-            member(OTHER, "standard", other),
+            member(OTHER_EDGE, "standard", other),
             member(ORIGIN, "origin", origin),
         ]
     };
     let admin_on = |config: &mut serde_json::Value| config["admin_addr"] = json!("127.0.0.1:0");
-    let old = Node::start_in("operate-cordon-old", members(), admin_on, Some(&tmp));
+    let old = PlatformFront::start_in_tmpdir("operate-cordon-old", members(), admin_on, Some(&tmp));
     let (address, admin) = (old.address, admin_of(&old));
     // This connection is made before the second process starts, so it stays with the first.
     let mut client = old.connect();
@@ -153,7 +153,7 @@
         admin_on(config);
         config["listen"] = json!(address);
     };
-    let new = Node::start_in("operate-cordon-new", members(), replaced, Some(&tmp));
+    let new = PlatformFront::start_in_tmpdir("operate-cordon-new", members(), replaced, Some(&tmp));
     let admin = admin_of(&new);
     old.signal("-TERM");
     old.logged("listener closed");
@@ -168,7 +168,7 @@
     let served = series_value(&call(admin, "counters"), "front_success{tier=\"media\"}");
     assert_eq!(served, 40, "requests of 40 clients");
     // A third process removes the cordon, and the process that serves reads that from the file.
-    let third = Node::start_in("operate-cordon-third", members(), replaced, Some(&tmp));
+    let third = PlatformFront::start_in_tmpdir("operate-cordon-third", members(), replaced, Some(&tmp));
     let admin = admin_of(&third);
     assert_eq!(call(admin, "uncordon s-00000007"), "ok s-00000007 uncordoned; it starts cold\n");
     assert_eq!(call(admin, "uncordon s-00000007"), "ok s-00000007 was not cordoned\n");
@@ -195,9 +195,9 @@
     let (cache, served) = cache_node();
     let members = vec![member(EDGE, "standard", cache), member(ORIGIN, "origin", cache)];
     let admin_on = |config: &mut serde_json::Value| config["admin_addr"] = json!("127.0.0.1:0");
-    let old = Node::start_in("operate-handover", members, admin_on, Some(&tmp));
+    let old = PlatformFront::start_in_tmpdir("operate-handover", members, admin_on, Some(&tmp));
     let (mut idle, mut busy) = (old.connect(), old.connect());
-    busy.ask("1", 1, "");
+    busy.send_request("1", 1, "");
     let mut asked = next(&served);
     // The note of a successor names the process of this test, then the old process gets SIGTERM.
     let mut notes = std::fs::read_dir(&tmp).unwrap().map(|e| e.unwrap().path());
@@ -205,13 +205,13 @@
     std::fs::write(live, std::process::id().to_string()).unwrap();
     old.signal("-TERM");
     old.logged("listener closing");
-    assert!(idle.closed(), "an idle connection is closed at once");
+    assert!(idle.ends_without_data(), "an idle connection is closed at once");
     old.logged("listener closed");
     assert!(std::net::TcpStream::connect(old.address).is_err(), "the listener is closed");
     // The open request is still answered, and its connection is closed after that.
     asked.hit(b"late but whole");
     assert_eq!(busy.answer(), ["1", "ok", "", "late but whole"]);
-    assert!(busy.closed());
+    assert!(busy.ends_without_data());
     std::fs::remove_dir_all(&tmp).unwrap();
 }
 
@@ -219,7 +219,7 @@
 fn operators_and_requests_are_served_when_idle_and_partial_clients_fill_all_slots() {
     let (cache, served) = cache_node();
     let members = vec![member(EDGE, "standard", cache), member(ORIGIN, "origin", cache)];
-    let node = Node::start("operate-crowd", members, |config| {
+    let node = PlatformFront::start("operate-crowd", members, |config| {
         config["admin_addr"] = json!("127.0.0.1:0");
         config["limits"]["sockets"] = json!(64);
     });
@@ -235,7 +235,7 @@
     assert!(series_value(&call(admin, "counters"), "front_hosts_listed") == 2);
     assert!(started.elapsed() < Duration::from_secs(1), "{:?}", started.elapsed());
     let mut client = node.connect();
-    client.ask("1", 1, "");
+    client.send_request("1", 1, "");
     next(&served).hit(b"through");
     assert_eq!(client.answer(), ["1", "ok", "", "through"]);
     drop(crowd);
@@ -249,9 +249,9 @@
     std::thread::spawn(move || served.iter().for_each(|mut one| one.hit(b"whole")));
     let members = || vec![member(EDGE, "standard", cache), member(ORIGIN, "origin", cache)];
     let admin_on = |config: &mut serde_json::Value| config["admin_addr"] = json!("127.0.0.1:0");
-    let mut old = Node::start_in("operate-takeover-old", members(), admin_on, Some(&tmp));
+    let mut old = PlatformFront::start_in_tmpdir("operate-takeover-old", members(), admin_on, Some(&tmp));
     let address = old.address;
-    let new = Node::start_in(
+    let new = PlatformFront::start_in_tmpdir(
         "operate-takeover-new",
         members(),
         |config| {
@@ -321,7 +321,7 @@
     std::thread::spawn(move || served.iter().for_each(|mut one| one.hit(b"whole")));
     let members = || vec![member(EDGE, "standard", cache), member(ORIGIN, "origin", cache)];
     let admin_on = |config: &mut serde_json::Value| config["admin_addr"] = json!("127.0.0.1:0");
-    let mut first = Node::start_in("operate-standby-first", members(), admin_on, Some(&tmp));
+    let mut first = PlatformFront::start_in_tmpdir("operate-standby-first", members(), admin_on, Some(&tmp));
     let first_admin = admin_of(&first);
     let address = first.address;
     let at_the_same = |config: &mut serde_json::Value| {
@@ -332,12 +332,13 @@
     let mut ask_each = |clients: &mut [Client]| {
         for client in clients {
             call_id += 1;
-            client.ask(&call_id.to_string(), call_id, "");
+            client.send_request(&call_id.to_string(), call_id, "");
             assert_eq!(client.answer()[1], "ok");
         }
     };
     let connect_all = || (0..CLIENTS).map(|_| Client::new(TcpStream::connect(address).unwrap()));
-    let mut second = Node::start_in("operate-standby-second", members(), at_the_same, Some(&tmp));
+    let mut second =
+        PlatformFront::start_in_tmpdir("operate-standby-second", members(), at_the_same, Some(&tmp));
     let second_admin = admin_of(&second);
     assert_eq!(call(second_admin, "health"), "ok yes\n");
     let mut clients: Vec<Client> = connect_all().collect();
@@ -359,7 +360,7 @@
     ask_each(&mut clients);
     assert_eq!(success(first_admin), asked + CLIENTS);
     // A third process runs when the first is killed, and it gets all connections after that.
-    let third = Node::start_in("operate-standby-third", members(), at_the_same, Some(&tmp));
+    let third = PlatformFront::start_in_tmpdir("operate-standby-third", members(), at_the_same, Some(&tmp));
     let third_admin = admin_of(&third);
     first.signal("-KILL");
     first.child.wait().unwrap();
@@ -385,13 +386,15 @@
         std::thread::spawn(move || served.iter().for_each(|mut one| one.hit(b"whole")));
         let members = || vec![member(EDGE, "standard", cache), member(ORIGIN, "origin", cache)];
         let admin_on = |config: &mut serde_json::Value| config["admin_addr"] = json!("127.0.0.1:0");
-        let mut first = Node::start_in(&format!("{name}-first"), members(), admin_on, Some(&tmp));
+        let mut first =
+            PlatformFront::start_in_tmpdir(&format!("{name}-first"), members(), admin_on, Some(&tmp));
         let address = first.address;
         let at_the_same = |config: &mut serde_json::Value| {
             admin_on(config);
             config["listen"] = json!(address);
         };
-        let mut second = Node::start_in(&format!("{name}-second"), members(), at_the_same, Some(&tmp));
+        let mut second =
+            PlatformFront::start_in_tmpdir(&format!("{name}-second"), members(), at_the_same, Some(&tmp));
         admin_of(&second);
         second.signal(signal);
         second.child.wait().unwrap();
@@ -408,7 +411,7 @@
             let stream = TcpStream::connect(address);
             let mut client =
                 Client::new(stream.unwrap_or_else(|e| panic!("{signal}, connection {tag}: {e}")));
-            client.ask(&tag.to_string(), tag, "");
+            client.send_request(&tag.to_string(), tag, "");
             assert_eq!(client.answer()[1], "ok", "{signal}, connection {tag}");
         }
         drop(open);
@@ -425,7 +428,7 @@
     let (cache, _served) = cache_node();
     let members = vec![member(EDGE, "standard", cache), member(ORIGIN, "origin", cache)];
     let admin_on = |config: &mut serde_json::Value| config["admin_addr"] = json!("127.0.0.1:0");
-    let old = Node::start_in("operate-late-front", members, admin_on, Some(&tmp));
+    let old = PlatformFront::start_in_tmpdir("operate-late-front", members, admin_on, Some(&tmp));
     admin_of(&old);
     let mut note = None;
     eventually("the front has written its note", || {
@@ -458,7 +461,7 @@
     std::thread::spawn(move || served.iter().for_each(|mut one| one.hit(b"whole")));
     let members = || vec![member(EDGE, "standard", cache), member(ORIGIN, "origin", cache)];
     let admin_on = |config: &mut serde_json::Value| config["admin_addr"] = json!("127.0.0.1:0");
-    let old = Node::start_in("operate-beside-old", members(), admin_on, Some(&tmp));
+    let old = PlatformFront::start_in_tmpdir("operate-beside-old", members(), admin_on, Some(&tmp));
     admin_of(&old);
     let mut open = old.connect();
     old.signal("-TERM");
@@ -471,10 +474,10 @@
         admin_on(config);
         config["listen"] = json!(address);
     };
-    let new = Node::start_in("operate-beside-new", members(), replaced, Some(&tmp));
+    let new = PlatformFront::start_in_tmpdir("operate-beside-new", members(), replaced, Some(&tmp));
     let mut clients: Vec<Client> = (0..40).map(|_| new.connect()).collect();
     for (client, tag) in clients.iter_mut().zip(1..) {
-        client.ask(&tag.to_string(), tag, "");
+        client.send_request(&tag.to_string(), tag, "");
         assert_eq!(client.answer()[1], "ok");
     }
     let served = series_value(&call(admin_of(&new), "counters"), "front_success{tier=\"media\"}");
@@ -497,24 +500,24 @@
 
 /// Starts a front with a `$TMPDIR` of its own; returns it with its cache node's requests, the address of its
 /// operators' socket and its cordons file.
-fn front_with_folder(name: &str) -> (Node, Receiver<Served>, SocketAddr, PathBuf) {
+fn front_with_folder(name: &str) -> (PlatformFront, Receiver<Served>, SocketAddr, PathBuf) {
     let tmp = std::env::temp_dir().join(format!("onyxyoke-{name}-tmp-{}", std::process::id()));
     std::fs::create_dir_all(&tmp).unwrap();
     let (cache, served) = cache_node();
-    let nodes = [(EDGE, "standard"), (OTHER, "standard"), (ORIGIN, "origin")];
+    let nodes = [(EDGE, "standard"), (OTHER_EDGE, "standard"), (ORIGIN, "origin")];
     let members = nodes.iter().map(|(id, kind)| member(*id, kind, cache)).collect();
     let admin_on = |config: &mut Value| config["admin_addr"] = json!("127.0.0.1:0");
-    let node = Node::start_in(name, members, admin_on, Some(&tmp));
+    let node = PlatformFront::start_in_tmpdir(name, members, admin_on, Some(&tmp));
     let admin = admin_of(&node);
     assert_eq!(call(admin, "health"), "ok yes\n");
     (node, served, admin, cordons_file(&tmp))
 }
 
 /// Asserts that a client and an operator are answered.
-fn assert_responsive(node: &Node, served: &Receiver<Served>, admin: SocketAddr) {
+fn assert_responsive(node: &PlatformFront, served: &Receiver<Served>, admin: SocketAddr) {
     assert_eq!(call(admin, "health"), "ok yes\n");
     let mut client = node.connect();
-    client.ask("1", 1, "");
+    client.send_request("1", 1, "");
     next(served).hit(b"12345");
     assert_eq!(client.answer()[1], "ok");
 }
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -14,11 +14,11 @@
 
 #[test]
 fn requests_aborts_and_invalid_input_follow_the_protocol() {
-    let (node, served) = one_cache("protocol");
+    let (node, served) = front_with_one_cache("protocol");
     let mut client = node.connect();
     client.send(&["HEALTH", "8", ""]);
     assert_eq!(client.answer()[..2], ["8", "yes"]);
-    client.ask("1", 0xa1, ",seen=e9");
+    client.send_request("1", 0xa1, ",seen=e9");
     let mut asked = next(&served);
     assert_eq!(
         (&*asked.id, asked.field("asset"), asked.field("have")),
@@ -32,15 +32,15 @@
     asked.answer("VALID", &format!("n=TCP_HIT,etag=e9,made={}", (unix() * 1000.0) as u64), b"");
     assert_eq!(client.answer(), ["1", "ok", "current=1", ""]);
     // Answers are forwarded in any order, complete and unchanged.
-    client.ask("2", 0xa2, "");
-    client.ask("3", 0xa3, "");
+    client.send_request("2", 0xa2, "");
+    client.send_request("3", 0xa3, "");
     let (mut second, mut third) = (next(&served), next(&served));
     third.hit(b"three\r\n");
     assert_eq!(client.answer(), ["3", "ok", "", "three\r\n"]);
     second.hit(b"two");
     assert_eq!(client.answer(), ["2", "ok", "", "two"]);
     // An aborted request gets no answer, and the cache node gets a cancel.
-    client.ask("4", 0xa4, "");
+    client.send_request("4", 0xa4, "");
     let asked = next(&served);
     client.send(&["ABORT", "4"]);
     let cancel = next(&served);
@@ -53,16 +53,16 @@
     client.send(&["DANCE", "7"]);
     assert_eq!(client.answer()[..2], ["7", "fault"]);
     // A request beyond 32 open ones is refused at once with a pushback.
-    (0..33).for_each(|i| client.ask(&(100 + i).to_string(), 0xb00 + i, ""));
+    (0..33).for_each(|i| client.send_request(&(100 + i).to_string(), 0xb00 + i, ""));
     assert_eq!(client.answer(), ["132", "full", "pushback=500", ""]);
     // Bytes that cannot be parsed: this connection is closed with a log line, other connections stay open.
     let mut bad = node.connect();
     bad.stream.write_all(b"GET / HTTP/1.1\r\n\r\n").unwrap();
-    assert!(bad.closed());
+    assert!(bad.ends_without_data());
     node.logged("no array of bulk strings");
     let mut large = node.connect();
     large.stream.write_all(b"*5\r\n$99999999\r\n").unwrap();
-    assert!(large.closed());
+    assert!(large.ends_without_data());
     node.logged("an oversized frame");
     client.send(&["HEALTH", "9", ""]);
     assert_eq!(client.answer()[..2], ["9", "yes"]);
@@ -75,10 +75,10 @@
     let ((cache, served), (twin, other)) = (cache_node(), cache_node());
     let members = vec![
         member(EDGE, "standard", cache),
-        member(OTHER, "standard", twin),
+        member(OTHER_EDGE, "standard", twin),
         member(ORIGIN, "origin", cache),
     ];
-    let node = Node::start("feed", members, |_| ());
+    let node = PlatformFront::start("feed", members, |_| ());
     let (last, mut feed) = node.feeds.recv_timeout(PATIENCE).unwrap();
     assert_eq!(last, 3, "the feed starts after the last known number");
     let purge = |at: f64| [&17u16.to_be_bytes()[..], &((at * 1000.0) as u64).to_be_bytes()].concat();
@@ -101,7 +101,7 @@
     assert_eq!(last, 5);
     let mut client = node.connect();
     for i in 0..8 {
-        client.ask(&(1 + i).to_string(), i, "");
+        client.send_request(&(1 + i).to_string(), i, "");
         let mut asked = next(&other);
         let age: u64 = asked.field("maxage").expect("an age limit after the purge").parse().unwrap();
         assert!(age < PATIENCE.as_millis() as u64);
@@ -115,9 +115,9 @@
 /// with 0.
 #[test]
 fn sigterm_finishes_open_requests_and_exits_with_0() {
-    let (mut node, served) = one_cache("sigterm");
+    let (mut node, served) = front_with_one_cache("sigterm");
     let (mut before, mut after) = (node.connect(), node.connect());
-    before.ask("1", 0xa1, "");
+    before.send_request("1", 0xa1, "");
     let mut held = next(&served);
     node.signal("-TERM");
     eventually("the front is closing", || {
@@ -125,7 +125,7 @@
         after.answer()[1] == "no"
     });
     let mut late = node.connect();
-    late.ask("1", 0xa2, "");
+    late.send_request("1", 0xa2, "");
     next(&served).hit(b"late");
     assert_eq!(late.answer()[1], "ok");
     held.hit(b"held");
@@ -141,25 +141,25 @@
 fn misbehaving_clients_are_closed_and_do_not_block_others() {
     let (cache, served) = cache_node();
     let members = vec![member(EDGE, "standard", cache), member(ORIGIN, "origin", cache)];
-    let node = Node::start("rude", members, |config| config["limits"]["sockets"] = json!(64));
+    let node = PlatformFront::start("rude", members, |config| config["limits"]["sockets"] = json!(64));
     let started = std::time::Instant::now();
     let mut large = node.connect();
     large.stream.write_all(b"*5\r\n$3\r\nREQ\r\n$1\r\n1\r\n$5\r\nmedia\r\n$60000000\r\n").unwrap();
     assert_eq!(large.answer()[..2], ["1", "fault"]);
-    assert!(large.closed());
+    assert!(large.ends_without_data());
     // Two requests with one tag: the open one fails, since the client could not tell their answers apart.
     let mut twice = node.connect();
-    twice.ask("1", 0xa1, "");
+    twice.send_request("1", 0xa1, "");
     next(&served);
-    twice.ask("1", 0xa2, "");
+    twice.send_request("1", 0xa2, "");
     assert_eq!(twice.answer()[..2], ["1", "fault"]);
-    assert!(twice.closed());
+    assert!(twice.ends_without_data());
     let mut partial = node.connect();
     partial.stream.write_all(b"*5\r\n$3\r\nREQ").unwrap();
     let mut silent: Vec<Client> = (0..60).map(|_| node.connect()).collect();
     // A client with an open request is not evicted for new connections.
     let mut client = node.connect();
-    client.ask("1", 0xb1, "");
+    client.send_request("1", 0xb1, "");
     let mut asked = loop {
         let s = next(&served);
         if s.verb == "serve" {
@@ -169,7 +169,7 @@
     silent.extend((0..60).map(|_| node.connect()));
     asked.hit(b"x");
     assert_eq!(client.answer()[1], "ok");
-    assert!(partial.closed() && silent.iter_mut().all(Client::closed));
+    assert!(partial.ends_without_data() && silent.iter_mut().all(Client::ends_without_data));
     assert!(started.elapsed() < std::time::Duration::from_secs(3), "{:?}", started.elapsed());
 }
 
@@ -177,7 +177,7 @@
 /// an invalid file changes nothing and is reported with its key.
 #[test]
 fn sighup_switches_to_the_coordinator_in_the_file() {
-    let (node, served) = one_cache("sighup");
+    let (node, served) = front_with_one_cache("sighup");
     let (last, mut old) = node.feeds.recv_timeout(PATIENCE).unwrap();
     assert_eq!(last, 3);
     let purge = |number| frame(number, 4, &[&17u16.to_be_bytes()[..], &1u64.to_be_bytes()].concat());
@@ -212,16 +212,16 @@
         node.logged("counters").contains("purges=2")
     });
     let mut client = node.connect();
-    client.ask("1", 1, "");
+    client.send_request("1", 1, "");
     next(&served).hit(b"x");
     assert_eq!(client.answer()[1], "ok");
 }
 
 #[test]
 fn counters_are_printed_on_request() {
-    let (node, served) = one_cache("counters");
+    let (node, served) = front_with_one_cache("counters");
     let mut client = node.connect();
-    client.ask("1", 1, "");
+    client.send_request("1", 1, "");
     next(&served).hit(b"12345");
     client.answer();
     node.signal("-USR1");
@@ -236,7 +236,7 @@
 /// time.
 #[test]
 fn requests_at_a_silent_cache_are_retried_or_refused() {
-    let (node, [(_, silent), (_, answering)]) = two_caches("silent");
+    let (node, [(_, silent), (_, answering)]) = front_with_two_caches("silent");
     let mut client = node.connect();
     // Objects are spread by hash: those of the silent cache are retried at the other once that one answers.
     let mut tags = Vec::new();
@@ -273,7 +273,7 @@
 /// by extra ones.
 #[test]
 fn malformed_answers_are_requested_again_and_extra_ones_ignored() {
-    let (node, served) = one_cache("spoilt");
+    let (node, served) = front_with_one_cache("spoilt");
     let mut client = node.connect();
     let made = (unix() * 1000.0) as u64;
     let good =
@@ -286,7 +286,7 @@
     ];
     for (i, text) in malformed.into_iter().enumerate() {
         let started = std::time::Instant::now();
-        client.ask(&(i + 1).to_string(), i as u64, "");
+        client.send_request(&(i + 1).to_string(), i as u64, "");
         let mut first = next(&served);
         first.raw(&text.replace("ID", &first.id));
         let mut retry = next(&served);
@@ -299,9 +299,9 @@
     }
     assert!(served.try_recv().is_err());
     // A different request under the call id of an open one is rejected.
-    client.ask("8", 0xa8, "");
+    client.send_request("8", 0xa8, "");
     let mut open = next(&served);
-    client.ask("9", 0xa8, ",seen=e");
+    client.send_request("9", 0xa8, ",seen=e");
     assert_eq!(client.answer()[..2], ["9", "fault"]);
     open.hit(b"eight");
     assert_eq!(client.answer()[3], "eight");
@@ -311,7 +311,7 @@
 fn an_invalid_configuration_is_reported_with_its_key() {
     let refused = |name: &str, change: &dyn Fn(&mut Value), key: &str| {
         let started = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
-            Node::start(name, Vec::new(), change);
+            PlatformFront::start(name, Vec::new(), change);
         }));
         let message = *started.unwrap_err().downcast::<String>().unwrap();
         assert!(message.contains(key), "{message}");
@@ -345,5 +345,7 @@
     let price = |config: &mut Value| config["settings"]["prices"] = json!({"handshake": "high"});
     refused("bad5", &price, "'settings.prices.handshake' is not a number of 0 or more");
     // A price of 0 is valid, and most installations use it.
-    Node::start("free", Vec::new(), |config| config["settings"]["prices"] = json!({"handshake": 0.0}));
+    PlatformFront::start("free", Vec::new(), |config| {
+        config["settings"]["prices"] = json!({"handshake": 0.0})
+    });
 }
--- a/tests/policy/admission.rs
+++ b/tests/policy/admission.rs
@@ -5,11 +5,11 @@
 
 #[test]
 fn requests_that_cannot_be_answered_in_time_are_refused_before_sending() {
-    let mut stage = Stage::new(settings(), &[edge(10), parent(20), origin(30)]);
+    let mut stage = DirectorHarness::new(settings(), &[edge(10), parent(20), origin(30)]);
     let (mut admitted, mut refusals) = (0, 0);
     for object in 1..200 {
         let (_, actions) = stage.ask(object, 400.0);
-        admitted += sent(&actions).len();
+        admitted += sent_attempts(&actions).len();
         refusals += usize::from(refused(&actions));
     }
     assert!(
@@ -29,7 +29,7 @@
             ..settings()
         };
         let cache = Node { weight, ..edge(10) };
-        let mut stage = Stage::new(settings, &[cache, parent(20), origin(30)]);
+        let mut stage = DirectorHarness::new(settings, &[cache, parent(20), origin(30)]);
         (1..=20).filter(|&o| refused(&stage.ask(o, 800.0).1)).count()
     };
     let refused = [4.0, 30.0].map(refused_of_20);
@@ -38,7 +38,7 @@
 
 #[test]
 fn small_requests_are_admitted_when_a_parent_is_slow_with_large_ones() {
-    let mut stage = Stage::new(
+    let mut stage = DirectorHarness::new(
         Settings { zone_link_kb_per_s: vec![0.0, 0.0, 3000.0], ..settings() },
         &[edge(10), parent(20), origin(30)],
     );
@@ -51,7 +51,7 @@
         stage.ask(object, 100.0);
     }
     assert!(refused(&stage.ask(200, 400.0).1), "a large request would be late");
-    assert_eq!(sent(&stage.ask(201, 10.0).1).len(), 1, "a small request would be in time");
+    assert_eq!(sent_attempts(&stage.ask(201, 10.0).1).len(), 1, "a small request would be in time");
 }
 
 /// Guards against refusing requests that a link which is only just full would still carry in time or nearly
@@ -61,13 +61,13 @@
 fn overload_guard_gets_stricter_as_a_link_fills() {
     let mut settings = Settings { zone_link_kb_per_s: vec![0.0, 0.0, 2000.0], ..settings() };
     settings.classes[0].aim_stretch = 1.6;
-    let mut stage = Stage::new(settings, &small_fleet());
+    let mut stage = DirectorHarness::new(settings, &small_fleet());
     stage.patience = 30.0;
     stage.fetch(1, 100.0);
     stage.fetch(2, 100.0);
     let (_, actions) = stage.ask(3, 5000.0);
     assert_eq!(
-        sent(&actions).len(),
+        sent_attempts(&actions).len(),
         1,
         "estimated slightly below its aim on a link a third over capacity: {actions:?}"
     );
@@ -82,7 +82,7 @@
 fn a_share_of_large_requests_is_admitted_on_a_full_link() {
     let mut settings = Settings { zone_link_kb_per_s: vec![0.0, 0.0, 2000.0], ..settings() };
     settings.classes[0].aim_stretch = 1.3;
-    let mut stage = Stage::new(settings, &small_fleet());
+    let mut stage = DirectorHarness::new(settings, &small_fleet());
     stage.patience = 30.0;
     for object in 1..4 {
         stage.fetch(object, 100.0);
@@ -92,7 +92,7 @@
         let large = object % 10 == 0;
         let kb = if large { 3000.0 } else { 100.0 };
         let (_, actions) = stage.ask(object, kb);
-        if let Some(&attempt) = sent(&actions).first() {
+        if let Some(&attempt) = sent_attempts(&actions).first() {
             admitted[usize::from(large)] += 1;
             stage.end(attempt, 0, Outcome::Ok, Note::Filled, 0.05 + 1.5 * kb / 1000.0);
         }
@@ -106,7 +106,7 @@
 /// them, until many hits have come (scenario ibf0141).
 #[test]
 fn first_hits_set_the_expected_latency_where_sizes_are_unknown() {
-    let mut stage = Stage::new(
+    let mut stage = DirectorHarness::new(
         Settings { zone_link_kb_per_s: Vec::new(), ..settings() },
         &[edge(10), parent(20), origin(30)],
     );
@@ -117,7 +117,7 @@
     }
     // The timer is set to twice the expected latency plus 0.3 s, so it shows the expected latency.
     let (_, actions) = stage.ask(1, 0.0);
-    let after = alarm_delay(&actions);
+    let after = timer_delay(&actions);
     assert!(after.is_some_and(|a| a < 0.5), "{after:?}");
 }
 
@@ -129,7 +129,7 @@
     let mut settings = Settings { zone_link_kb_per_s: vec![0.0, 0.0, 2000.0], ..settings() };
     settings.classes[0].uncacheable = true;
     for note in [Note::FilledFromOrigin, Note::None] {
-        let mut stage = Stage::new(settings.clone(), &small_fleet());
+        let mut stage = DirectorHarness::new(settings.clone(), &small_fleet());
         for object in 1..10 {
             let attempt = stage.fetch(object, 0.0);
             stage.end(attempt, 0, Outcome::Ok, note, 0.06);
--- a/tests/policy/health.rs
+++ b/tests/policy/health.rs
@@ -5,7 +5,7 @@
 
 #[test]
 fn a_silent_cache_is_ejected_while_others_answer() {
-    let mut stage = Stage::new(settings(), &[edge(10), edge(11), parent(20), origin(30)]);
+    let mut stage = DirectorHarness::new(settings(), &[edge(10), edge(11), parent(20), origin(30)]);
     let mut unanswered = None;
     for object in 1..30 {
         let sent = stage.fetch(object, 20.0);
@@ -16,9 +16,9 @@
         }
     }
     let (_, sent_first) = unanswered.expect("some object of cache 10");
-    let actions = stage.first_attempt_alarm(sent_first.id);
+    let actions = stage.fire_first_attempt_timer(sent_first.id);
     assert!(actions.iter().any(|a| matches!(a, Action::Cancel { attempt: 0, .. })), "{actions:?}");
-    assert_eq!(sent(&actions)[0].node, 11);
+    assert_eq!(sent_attempts(&actions)[0].node, 11);
     for object in 100..130 {
         assert_eq!(stage.hit(object, 20.0).node, 11, "an ejected node gets no new requests for a while");
     }
@@ -28,7 +28,7 @@
 /// for any node to answer.
 #[test]
 fn cancelled_and_too_short_requests_do_not_count_against_a_node() {
-    let mut stage = Stage::new(settings(), &[edge(10), edge(11), parent(20), origin(30)]);
+    let mut stage = DirectorHarness::new(settings(), &[edge(10), edge(11), parent(20), origin(30)]);
     let home = stage.hit(1, 50.0).node;
     for object in 0..40 {
         let sent = stage.fetch(object, 50.0);
@@ -47,20 +47,20 @@
 /// that holds their object. Three failures without an answer in between eject the node.
 #[test]
 fn a_reset_of_several_requests_counts_as_one_failure() {
-    let mut stage = Stage::new(settings(), &[edge(10), edge(11), parent(20), origin(30)]);
-    stage.mixed();
+    let mut stage = DirectorHarness::new(settings(), &[edge(10), edge(11), parent(20), origin(30)]);
+    stage.request_many_objects();
     let home = stage.hit(1, 50.0).node;
-    let outstanding: Vec<Sent> =
+    let outstanding: Vec<SentAttempt> =
         (0..5).map(|_| stage.fetch(1, 50.0)).filter(|attempt| attempt.node == home).collect();
     assert!(outstanding.len() > 2);
     for attempt in &outstanding {
         let again = stage.end(*attempt, 0, Outcome::Reset, Note::None, 0.0);
-        assert_eq!(sent(&again)[0].node, home);
+        assert_eq!(sent_attempts(&again)[0].node, home);
     }
     for number in 1..3 {
         stage.now += 0.1;
         let again = stage.end(outstanding[0], number, Outcome::Reset, Note::None, 0.0);
-        assert_eq!(sent(&again)[0].node == home, number < 2, "{again:?}");
+        assert_eq!(sent_attempts(&again)[0].node == home, number < 2, "{again:?}");
     }
 }
 
@@ -68,26 +68,26 @@
 /// others. After the first lost answer the next is detected sooner, and no node is ejected.
 #[test]
 fn a_lost_answer_is_requested_again_and_the_next_one_sooner() {
-    let mut stage = Stage::new(settings(), &[edge(10), parent(20), origin(30)]);
+    let mut stage = DirectorHarness::new(settings(), &[edge(10), parent(20), origin(30)]);
     stage.hit(1, 50.0);
     let mut waits = Vec::new();
     for _ in 0..2 {
         let (id, actions) = stage.ask(1, 50.0);
-        let lost = sent(&actions)[0];
-        let (sent_at, mut after) = (stage.now, alarm_delay(&actions).unwrap());
+        let lost = sent_attempts(&actions)[0];
+        let (sent_at, mut after) = (stage.now, timer_delay(&actions).unwrap());
         stage.now += 0.01;
         stage.hit(2, 50.0);
         let late = loop {
             stage.now = stage.now.max(sent_at + after);
             assert!(stage.now < sent_at + 2.0, "the lost answer was not detected in 2 s");
-            let actions = stage.first_attempt_alarm(id);
-            match alarm_delay(&actions).filter(|_| actions.len() == 1) {
+            let actions = stage.fire_first_attempt_timer(id);
+            match timer_delay(&actions).filter(|_| actions.len() == 1) {
                 Some(more) => after = stage.now - sent_at + more,
                 None => break actions,
             }
         };
         assert!(matches!(late[0], Action::Cancel { attempt: 0, .. }), "{late:?}");
-        assert_eq!(sent(&late)[0].node, lost.node);
+        assert_eq!(sent_attempts(&late)[0].node, lost.node);
         waits.push(stage.now - sent_at);
         stage.end(lost, 0, Outcome::Cancelled, Note::None, 0.0);
         stage.end(lost, 1, Outcome::Ok, Note::Hit, 0.05);
@@ -97,13 +97,13 @@
 
 #[test]
 fn a_stall_of_all_nodes_ejects_none() {
-    let mut stage = Stage::new(settings(), &small_fleet());
-    stage.mixed();
-    let homes: Vec<Sent> = (1..=20).map(|o| stage.hit(o, 10.0)).collect();
-    let outstanding: Vec<Sent> = (1..=6).map(|o| stage.fetch(o, 10.0)).collect();
+    let mut stage = DirectorHarness::new(settings(), &small_fleet());
+    stage.request_many_objects();
+    let homes: Vec<SentAttempt> = (1..=20).map(|o| stage.hit(o, 10.0)).collect();
+    let outstanding: Vec<SentAttempt> = (1..=6).map(|o| stage.fetch(o, 10.0)).collect();
     stage.now += 2.0;
     for sent in &outstanding {
-        let actions = stage.first_attempt_alarm(sent.id);
+        let actions = stage.fire_first_attempt_timer(sent.id);
         assert!(matches!(actions[..], [Action::SetTimer { .. }]), "{actions:?}");
     }
     for sent in outstanding {
@@ -117,13 +117,14 @@
 #[test]
 fn fills_refused_by_a_failed_parent_do_not_count_against_caches() {
     // Notes do not name the refusing node: fills from one parent are refused through every cache.
-    let mut stage = Stage::new(Settings { note_detail: NoteDetail::Hit, ..settings() }, &small_fleet());
+    let mut stage =
+        DirectorHarness::new(Settings { note_detail: NoteDetail::Hit, ..settings() }, &small_fleet());
     for object in 1..40 {
         let mut attempt = stage.fetch(object, 10.0);
         let mut number = 0;
         while attempt.source == 20 {
             let next = stage.end(attempt, number, Outcome::Full, Note::None, 0.001);
-            let next = sent(&next)[0];
+            let next = sent_attempts(&next)[0];
             assert_eq!(next.node, attempt.node, "the retry uses the same cache and another source");
             (attempt, number) = (next, number + 1);
         }
--- a/tests/policy/membership.rs
+++ b/tests/policy/membership.rs
@@ -5,8 +5,8 @@
 
 #[test]
 fn draining_and_absent_nodes_get_no_requests_and_no_fills() {
-    let mut stage = Stage::new(settings(), &small_fleet());
-    let homes: Vec<Sent> = (1..=60).map(|o| stage.hit(o, 20.0)).collect();
+    let mut stage = DirectorHarness::new(settings(), &small_fleet());
+    let homes: Vec<SentAttempt> = (1..=60).map(|o| stage.hit(o, 20.0)).collect();
     let draining = |n: Node| Node { state: NodeState::Draining, ..n };
     stage.list(ListKind::Delta, &[draining(edge(10)), draining(parent(20))]);
     for object in 1..=60 {
@@ -26,7 +26,7 @@
 
 #[test]
 fn requests_without_any_cache_are_refused_at_once_with_a_retry_delay() {
-    let mut stage = Stage::new(settings(), &[]);
+    let mut stage = DirectorHarness::new(settings(), &[]);
     let (_, actions) = stage.ask(1, 50.0);
     assert!(matches!(actions[..], [Action::Refuse { wait, .. }] if wait > 0.0), "{actions:?}");
 }
@@ -34,7 +34,7 @@
 /// Guards against memory that grows without bound as nodes are replaced over a long time.
 #[test]
 fn state_of_withdrawn_nodes_is_dropped() {
-    let mut stage = Stage::new(settings(), &small_fleet());
+    let mut stage = DirectorHarness::new(settings(), &small_fleet());
     for id in 1000..1500 {
         stage.list(ListKind::Delta, &[edge(id)]);
         stage.now += 1.0;
--- a/tests/policy/placement.rs
+++ b/tests/policy/placement.rs
@@ -5,9 +5,9 @@
 
 #[test]
 fn directors_agree_on_the_home_and_only_objects_of_a_removed_cache_move() {
-    let mut a = Stage::new(settings(), &small_fleet());
-    let mut b = Stage::new(Settings { director_number: 1, ..settings() }, &small_fleet());
-    let mut without_12 = Stage::new(settings(), &[edge(10), edge(11), parent(20), origin(30)]);
+    let mut a = DirectorHarness::new(settings(), &small_fleet());
+    let mut b = DirectorHarness::new(Settings { director_number: 1, ..settings() }, &small_fleet());
+    let mut without_12 = DirectorHarness::new(settings(), &[edge(10), edge(11), parent(20), origin(30)]);
     let mut moved = 0;
     let mut seen = std::collections::BTreeSet::new();
     for object in 1..=60 {
@@ -23,22 +23,22 @@
 
 #[test]
 fn a_hot_object_spreads_by_sibling_fills_before_its_cache_is_overloaded() {
-    let mut stage = Stage::new(settings(), &small_fleet());
+    let mut stage = DirectorHarness::new(settings(), &small_fleet());
     let first = stage.hit(7, 300.0);
-    let burst: Vec<Sent> = (0..14).map(|_| stage.fetch(7, 300.0)).collect();
-    let spread: Vec<&Sent> = burst.iter().filter(|b| b.node != first.node).collect();
+    let burst: Vec<SentAttempt> = (0..14).map(|_| stage.fetch(7, 300.0)).collect();
+    let spread: Vec<&SentAttempt> = burst.iter().filter(|b| b.node != first.node).collect();
     assert!(!spread.is_empty(), "one cache must not get all requests");
     assert!(spread.iter().all(|b| b.source == first.node && b.only_if_cached), "{spread:?}");
 }
 
 #[test]
 fn a_sibling_miss_drops_the_belief_in_its_copy() {
-    let mut stage = Stage::new(settings(), &small_fleet());
+    let mut stage = DirectorHarness::new(settings(), &small_fleet());
     let first = stage.hit(7, 300.0);
-    let burst: Vec<Sent> = (0..14).map(|_| stage.fetch(7, 300.0)).collect();
+    let burst: Vec<SentAttempt> = (0..14).map(|_| stage.fetch(7, 300.0)).collect();
     let spread = *burst.iter().find(|b| b.only_if_cached).expect("a sibling fill");
     let retry = stage.end(spread, 0, Outcome::Miss, Note::SourceMiss, 0.01);
-    let retry = sent(&retry)[0];
+    let retry = sent_attempts(&retry)[0];
     assert!(retry.source != first.node, "the retry is filled from a parent or the origin: {retry:?}");
 }
 
@@ -48,7 +48,7 @@
 fn objects_are_placed_in_proportion_to_link_capacity() {
     let sized = |id, weight| Node { weight, ..edge(id) };
     let nodes = [sized(10, 2.0), sized(11, 6.0), parent(20), origin(30)];
-    let mut stage = Stage::new(Settings { weights_are_link_sizes: true, ..settings() }, &nodes);
+    let mut stage = DirectorHarness::new(Settings { weights_are_link_sizes: true, ..settings() }, &nodes);
     let small = (1..=2_000).filter(|&object| stage.hit(object, 10.0).node == 10).count();
     assert!((430..570).contains(&small), "a quarter of 2000 objects: {small}");
 }
@@ -60,7 +60,8 @@
     let nodes: Vec<Node> = (10..30).map(edge).chain([parent(40), origin(50)]).collect();
     let homes = |object: u64| {
         let asked = (0..50).map(|me| {
-            let mut stage = Stage::seeded(me, Settings { director_number: me as u16, ..settings() }, &nodes);
+            let mut stage =
+                DirectorHarness::seeded(me, Settings { director_number: me as u16, ..settings() }, &nodes);
             for i in 0..30 {
                 stage.hit(if i % 3 == 0 { 7 } else { 1_000 + 100 * me + i }, 50.0);
             }
@@ -79,7 +80,8 @@
     let nodes: Vec<Node> = (10..20).map(edge).chain([parent(40), origin(50)]).collect();
     let mut to_new = 0;
     for me in 0..50 {
-        let mut stage = Stage::seeded(me, Settings { director_number: me as u16, ..settings() }, &nodes);
+        let mut stage =
+            DirectorHarness::seeded(me, Settings { director_number: me as u16, ..settings() }, &nodes);
         for _ in 0..40 {
             stage.hit(7, 50.0);
         }
@@ -94,8 +96,8 @@
 fn reason_counts_show_why_caches_were_chosen() {
     use onyxyoke::spread::RoutingReason;
     let nodes: Vec<Node> = (10..14).map(edge).chain([parent(40), origin(50)]).collect();
-    let mut stage = Stage::new(settings(), &nodes);
-    stage.mixed();
+    let mut stage = DirectorHarness::new(settings(), &nodes);
+    stage.request_many_objects();
     stage.hit(3, 50.0);
     let before = *stage.director.reason_counts();
     stage.hit(3, 50.0);
--- a/tests/policy/purges.rs
+++ b/tests/policy/purges.rs
@@ -5,7 +5,7 @@
 
 #[test]
 fn a_purge_drops_beliefs_and_limits_copy_age_until_the_settle_time() {
-    let mut stage = Stage::new(Settings { join_fills: true, ..settings() }, &small_fleet());
+    let mut stage = DirectorHarness::new(Settings { join_fills: true, ..settings() }, &small_fleet());
     let first = stage.fetch(5, 50.0);
     assert_eq!((first.age, first.join), (0.0, true));
     stage.end(first, 0, Outcome::Ok, Note::Hit, 0.05);
@@ -29,7 +29,7 @@
 fn the_age_limit_after_a_purge_is_capped_by_the_freshness_time() {
     let mut base = settings();
     base.classes[0].fresh_for = 2.0;
-    let mut stage = Stage::new(base, &small_fleet());
+    let mut stage = DirectorHarness::new(base, &small_fleet());
     stage.event(Event::Purged { object: Some(ObjectId(5)), group: GroupId(1), age: 5.0 });
     assert_eq!(stage.fetch(5, 50.0).age, 2.0);
 }
--- a/tests/policy/retries.rs
+++ b/tests/policy/retries.rs
@@ -5,16 +5,20 @@
 
 #[test]
 fn without_concurrent_attempts_a_retry_waits_for_the_cancelled_attempt() {
-    let mut stage = Stage::new(Settings { concurrent_attempts: false, ..settings() }, &small_fleet());
+    let mut stage =
+        DirectorHarness::new(Settings { concurrent_attempts: false, ..settings() }, &small_fleet());
     let unanswered = stage.fetch(1, 10.0);
     let other = (2..)
         .map(|o| stage.fetch(o, 10.0))
         .find(|attempt| attempt.node != unanswered.node && attempt.source != unanswered.source);
     stage.end(other.expect("some other cache"), 0, Outcome::Ok, Note::Hit, 0.5);
-    let actions = stage.first_attempt_alarm(unanswered.id);
-    assert!(sent(&actions).is_empty() && matches!(actions[..], [Action::Cancel { .. }]), "{actions:?}");
+    let actions = stage.fire_first_attempt_timer(unanswered.id);
+    assert!(
+        sent_attempts(&actions).is_empty() && matches!(actions[..], [Action::Cancel { .. }]),
+        "{actions:?}"
+    );
     let actions = stage.end(unanswered, 0, Outcome::Cancelled, Note::None, 0.0);
-    assert_eq!(sent(&actions).len(), 1);
+    assert_eq!(sent_attempts(&actions).len(), 1);
 }
 
 #[test]
@@ -29,10 +33,10 @@
     ] {
         let mut base = settings();
         base.classes[0].effect = Effect::Unsafe;
-        let mut stage = Stage::new(base, &small_fleet());
+        let mut stage = DirectorHarness::new(base, &small_fleet());
         let attempt = stage.fetch(1, 10.0);
         let actions = stage.end(attempt, 0, outcome, Note::None, 0.1);
-        assert_eq!(sent(&actions).len(), usize::from(resent), "{outcome:?}");
+        assert_eq!(sent_attempts(&actions).len(), usize::from(resent), "{outcome:?}");
         assert_eq!(failed(&actions), !resent, "{outcome:?}");
         assert!(!refused(&actions));
     }
@@ -47,12 +51,12 @@
         base.classes[0] =
             Class { effect: Effect::Keyed(Scope::Cell), key_ttl: 2.0, ..base.classes[0].clone() };
         for object in 1..30 {
-            let mut stage = Stage::new(base.clone(), &nodes);
+            let mut stage = DirectorHarness::new(base.clone(), &nodes);
             let attempt = stage.fetch(object, 10.0);
             stage.now += wait;
             let actions = stage.end(attempt, 0, Outcome::Reset, Note::None, 0.0);
             assert!(!refused(&actions), "a request that may have run must not be answered with a refusal");
-            match sent(&actions)[..] {
+            match sent_attempts(&actions)[..] {
                 [retry] => {
                     assert!(in_time && (retry.node == 12) == (attempt.node == 12), "{attempt:?} {retry:?}")
                 }
@@ -65,7 +69,7 @@
 
 #[test]
 fn a_timed_out_request_gets_one_final_answer() {
-    let mut stage = Stage::new(settings(), &small_fleet());
+    let mut stage = DirectorHarness::new(settings(), &small_fleet());
     let attempt = stage.fetch(1, 10.0);
     let actions = stage.end(attempt, 0, Outcome::TimedOut, Note::None, 5.0);
     assert_eq!((actions.len(), refused(&actions)), (1, true));
@@ -75,7 +79,7 @@
 
 #[test]
 fn a_request_of_an_unknown_class_fails_without_a_panic() {
-    let mut stage = Stage::new(settings(), &small_fleet());
+    let mut stage = DirectorHarness::new(settings(), &small_fleet());
     let request = Request { class: ClassId(9), ..Request::default() };
     assert!(failed(&stage.event(Event::Request(request))));
 }
--- a/tests/policy/slow_start.rs
+++ b/tests/policy/slow_start.rs
@@ -6,12 +6,14 @@
 #[test]
 fn a_cold_cache_gets_some_load_within_its_budget() {
     let cold = Node { ready_at: 99.0, ..edge(10) };
-    let mut stage = Stage::new(settings(), &[cold, edge(11), parent(20), origin(30)]);
+    let mut stage = DirectorHarness::new(settings(), &[cold, edge(11), parent(20), origin(30)]);
     let mut work: f64 = 0.0;
     for object in 1..400 {
         let (_, actions) = stage.ask(object, 50.0);
-        work += sent(&actions).iter().filter(|attempt| attempt.node == 10 || attempt.source == 10).count()
-            as f64
+        work += sent_attempts(&actions)
+            .iter()
+            .filter(|attempt| attempt.node == 10 || attempt.source == 10)
+            .count() as f64
             * 0.05;
         stage.now += 0.002;
     }
@@ -23,10 +25,10 @@
 #[test]
 fn a_cold_parent_gets_few_fills_and_the_origin_takes_the_rest() {
     let cold = Node { ready_at: 99.0, ..parent(20) };
-    let mut stage = Stage::new(settings(), &[edge(10), edge(11), edge(12), cold, origin(30)]);
+    let mut stage = DirectorHarness::new(settings(), &[edge(10), edge(11), edge(12), cold, origin(30)]);
     let mut at = std::collections::BTreeMap::new();
     for object in 1..60 {
-        for attempt in sent(&stage.ask(object, 20.0).1) {
+        for attempt in sent_attempts(&stage.ask(object, 20.0).1) {
             *at.entry(attempt.source).or_insert(0) += 1;
         }
     }
@@ -42,11 +44,12 @@
         let mut sent_at: Vec<f64> = Vec::new();
         for me in 0..200 {
             let base = Settings { director_number: me, weights_are_link_sizes: true, ..with_peers(200) };
-            let mut stage = Stage::seeded(u64::from(me), Settings { directors: 200, ..base }, &nodes);
+            let mut stage =
+                DirectorHarness::seeded(u64::from(me), Settings { directors: 200, ..base }, &nodes);
             stage.now += f64::from(me) * 0.002;
             for step in 0..20 {
                 let (_, actions) = stage.ask(u64::from(me) * 1000 + step, 50.0);
-                for attempt in sent(&actions) {
+                for attempt in sent_attempts(&actions) {
                     sent_at.extend(
                         (attempt.node == cold.id.0 || attempt.source == cold.id.0).then_some(stage.now),
                     );
--- a/tests/policy/sources.rs
+++ b/tests/policy/sources.rs
@@ -5,15 +5,15 @@
 
 #[test]
 fn a_miss_is_filled_from_a_parent_or_from_the_origin_without_parents() {
-    let mut stage = Stage::new(settings(), &small_fleet());
+    let mut stage = DirectorHarness::new(settings(), &small_fleet());
     assert!([20, 21].contains(&stage.fetch(1, 50.0).source));
-    let mut stage = Stage::new(settings(), &[edge(10), origin(30)]);
+    let mut stage = DirectorHarness::new(settings(), &[edge(10), origin(30)]);
     assert_eq!(stage.fetch(1, 50.0).source, 30);
 }
 
 #[test]
 fn the_faster_parent_gets_most_of_the_fills() {
-    let mut stage = Stage::new(settings(), &small_fleet());
+    let mut stage = DirectorHarness::new(settings(), &small_fleet());
     let mut fills = [0, 0];
     for object in 1..200 {
         let sent = stage.fetch(object, 50.0);
@@ -36,17 +36,17 @@
 
 #[test]
 fn a_failing_origin_leaves_parents_in_use_and_causes_no_retry_storm() {
-    let mut stage = Stage::new(settings(), &small_fleet());
+    let mut stage = DirectorHarness::new(settings(), &small_fleet());
     for object in 1..10 {
         let attempt = stage.fetch(object, 10.0);
         stage.end(attempt, 0, Outcome::Full, Note::OriginFailed, 0.001);
     }
     assert!([20, 21].contains(&stage.fetch(100, 10.0).source), "copies at the parents are still used");
-    let mut stage = Stage::new(settings(), &[edge(10), edge(11), origin(30)]);
+    let mut stage = DirectorHarness::new(settings(), &[edge(10), edge(11), origin(30)]);
     let mut attempts = 0;
     for object in 1..60 {
         let (_, actions) = stage.ask(object, 10.0);
-        for attempt in sent(&actions) {
+        for attempt in sent_attempts(&actions) {
             attempts += 1;
             assert_eq!(attempt.source, 30);
             let actions = stage.end(attempt, 0, Outcome::Full, Note::SourceRefused, 0.002);
@@ -62,8 +62,9 @@
     let nodes: Vec<Node> = [edge(10), origin(30)].into_iter().chain(parents).collect();
     let mut used = std::collections::BTreeSet::new();
     for object in 1..60 {
-        let sources: std::collections::BTreeSet<u64> =
-            (0..12).map(|seed| Stage::seeded(seed, settings(), &nodes).fetch(object, 20.0).source).collect();
+        let sources: std::collections::BTreeSet<u64> = (0..12)
+            .map(|seed| DirectorHarness::seeded(seed, settings(), &nodes).fetch(object, 20.0).source)
+            .collect();
         assert!(sources.len() <= 2, "{sources:?}");
         used.extend(sources);
     }
@@ -73,16 +74,16 @@
 #[test]
 fn a_fill_refused_by_a_parent_goes_to_another_parent_before_the_origin() {
     let nodes: Vec<Node> = (20..29).map(parent).chain([edge(10), origin(30)]).collect();
-    let mut stage = Stage::new(settings(), &nodes);
+    let mut stage = DirectorHarness::new(settings(), &nodes);
     let first = stage.fetch(1, 20.0);
     let retry = stage.end(first, 0, Outcome::Full, Note::SourceRefused, 0.01);
-    let retry = sent(&retry)[0];
+    let retry = sent_attempts(&retry)[0];
     assert!(retry.source != first.source && retry.source != 30, "{retry:?}");
 }
 
 #[test]
 fn requests_to_a_failing_origin_are_few_while_parents_serve_their_copies() {
-    let mut stage = Stage::new(settings(), &small_fleet());
+    let mut stage = DirectorHarness::new(settings(), &small_fleet());
     let (mut to_origin, mut only_cached) = (0, 0);
     for object in 1..200 {
         let mut attempt = stage.fetch(object, 20.0);
@@ -90,7 +91,7 @@
         while attempt.only_if_cached {
             only_cached += 1;
             let next = stage.end(attempt, number, Outcome::Miss, Note::SourceMiss, 0.001);
-            let Some(&next) = sent(&next).first() else { break };
+            let Some(&next) = sent_attempts(&next).first() else { break };
             (attempt, number) = (next, number + 1);
         }
         if !attempt.only_if_cached {
@@ -110,7 +111,7 @@
 #[test]
 fn parents_of_the_own_hub_are_preferred() {
     let far = Node { zone: ZoneId(1), ..parent(21) };
-    let mut stage = Stage::new(settings(), &[edge(10), parent(20), far, origin(30)]);
+    let mut stage = DirectorHarness::new(settings(), &[edge(10), parent(20), far, origin(30)]);
     assert!((1..=30).all(|o| stage.fetch(o, 10.0).source == 20));
     stage.list(ListKind::Delta, &[Node { state: NodeState::Draining, ..parent(20) }]);
     assert!(
--- a/tests/policy/stalls.rs
+++ b/tests/policy/stalls.rs
@@ -19,14 +19,14 @@
 
 /// A director with the settings of the platform's front: no concurrent attempts and no parents.
 fn timed_stage(nodes: &[Node]) -> TimedStage {
-    let mut stage = Stage::new(Settings { concurrent_attempts: false, ..settings() }, nodes);
-    stage.mixed();
+    let mut stage = DirectorHarness::new(Settings { concurrent_attempts: false, ..settings() }, nodes);
+    stage.request_many_objects();
     TimedStage { stage, timers: Vec::new(), actions: Vec::new() }
 }
 
 /// A stage whose timers fire when they are due.
 struct TimedStage {
-    stage: Stage,
+    stage: DirectorHarness,
     /// Due time and token of each timer.
     timers: Vec<(f64, u64)>,
     /// All actions except timers.
@@ -76,16 +76,16 @@
     }
 
     /// Issues a request for an object and returns its attempt.
-    fn fetch(&mut self, object: u64) -> Sent {
+    fn fetch(&mut self, object: u64) -> SentAttempt {
         let (_, actions) = self.stage.ask(object, OBJECT_KB);
-        let sent = sent(&actions)[0];
+        let sent = sent_attempts(&actions)[0];
         self.apply_actions(actions);
         sent
     }
 
     /// Issues requests for `count` objects without a believed holder, one after the other, and returns their
     /// attempts.
-    fn fetch_each(&mut self, first: u64, count: u64) -> Vec<Sent> {
+    fn fetch_each(&mut self, first: u64, count: u64) -> Vec<SentAttempt> {
         let fetch = |object| {
             let sent = self.fetch(object);
             self.advance(REQUEST_INTERVAL_S);
@@ -94,27 +94,28 @@
         (first..first + count).map(fetch).collect()
     }
 
-    fn end(&mut self, sent: Sent, number: u16, outcome: Outcome, note: Note) {
+    fn end(&mut self, sent: SentAttempt, number: u16, outcome: Outcome, note: Note) {
         let actions = self.stage.end(sent, number, outcome, note, 0.0);
         self.apply_actions(actions);
     }
 
     /// Ends an attempt `took` seconds after it was sent because the client's deadline has passed.
-    fn time_out(&mut self, sent: Sent, took: f64) {
+    fn time_out(&mut self, sent: SentAttempt, took: f64) {
         self.stage.now -= took;
         let actions = self.stage.end(sent, 0, Outcome::TimedOut, Note::None, took);
         self.apply_actions(actions);
     }
 
     /// Ends the attempts that were cancelled.
-    fn end_cancelled(&mut self, attempts: &[Sent]) {
-        let cancelled: Vec<Sent> = attempts.iter().copied().filter(|sent| self.is_cancelled(sent)).collect();
+    fn end_cancelled(&mut self, attempts: &[SentAttempt]) {
+        let cancelled: Vec<SentAttempt> =
+            attempts.iter().copied().filter(|sent| self.is_cancelled(sent)).collect();
         for sent in cancelled {
             self.end(sent, 0, Outcome::Cancelled, Note::None);
         }
     }
 
-    fn is_cancelled(&self, sent: &Sent) -> bool {
+    fn is_cancelled(&self, sent: &SentAttempt) -> bool {
         let cancels =
             |action: &Action| matches!(action, Action::Cancel { request, .. } if request.0 == sent.id);
         self.actions.iter().any(cancels)
@@ -126,7 +127,7 @@
         for object in first..first + count {
             let (_, actions) = self.stage.ask(object, OBJECT_KB);
             refusals += usize::from(refused(&actions));
-            for sent in sent(&actions) {
+            for sent in sent_attempts(&actions) {
                 self.stage.end(sent, 0, Outcome::Ok, Note::Hit, OBJECT_KB / 1000.0);
             }
         }
--- a/tests/signed.rs
+++ b/tests/signed.rs
@@ -32,10 +32,10 @@
         "MIGHAgEAMBMGByqGSM49AgEGCCqGSM49AwEHBG0wawIBAQQgE18X+uUUNzlstrovE/ON96de0jQCrckLagkjZtvYHhyhRANCAARhfIGLFBsFdbHRdIVxZXrUPa5TTD+SEkjtiSM0iCZY5Et2mqOZe9gv53LHsU5GoTZlosqmXC1Bjfbo0PBAQ8dE",
     );
     let point = &der[der.len() - 64..];
-    let jwk = json!({"kty": "EC", "crv": "P-256", "alg": "ES256", "kid": "t-ec", "iss": TALKS,
+    let jwk = json!({"kty": "EC", "crv": "P-256", "alg": "ES256", "kid": "t-ec", "iss": TALKS_ISSUER,
         "x": base64url(&point[..32]), "y": base64url(&point[32..])});
     let key = EncodingKey::from_ec_der(&der);
-    Signer { kid: "t-ec", issuer: TALKS, algorithm: Algorithm::ES256, key, jwk }
+    Signer { kid: "t-ec", issuer: TALKS_ISSUER, algorithm: Algorithm::ES256, key, jwk }
 }
 
 fn next(served: &Receiver<Served>) -> Served {
@@ -43,7 +43,7 @@
 }
 
 /// Sends a request, has the cache node serve it, and returns the status, the head and the requested asset.
-fn get_through(front: &Front, served: &Receiver<Served>, text: &str) -> (u16, String, String) {
+fn get_through(front: &SignedFront, served: &Receiver<Served>, text: &str) -> (u16, String, String) {
     let mut stream = front.send(text);
     let mut one = next(served);
     assert_eq!(one.verb, "serve");
@@ -56,7 +56,7 @@
 #[test]
 fn invalid_links_are_refused_before_a_cache_gets_a_request() {
     let (talks, documents, ec) = (talks(), documents(), elliptic_signer());
-    let (front, served) = stage("links", &[&talks, &documents, &ec], same);
+    let (front, served) = start_signed_front("links", &[&talks, &documents, &ec], unchanged);
     let path = "/talks/7.mp4";
     let with = |s: &Signer, change: &dyn Fn(&mut Value)| {
         let mut claims = s.claims(path);
@@ -70,12 +70,12 @@
     let altered = base64url(talks.claims("/talks/8.mp4").to_string().as_bytes());
     let unsigned = base64url(br#"{"alg":"none","kid":"t1"}"#);
     let critical = base64url(br#"{"alg":"HS256","kid":"t1","crit":["b64"],"b64":false}"#);
-    let forged = Signer::new("t1", TALKS, b"somebody else's secret, 32 bytes");
-    let unknown = Signer::new("t9", TALKS, b"the talks team's secret, 32 byte");
+    let forged = Signer::new("t1", TALKS_ISSUER, b"somebody else's secret, 32 bytes");
+    let unknown = Signer::new("t9", TALKS_ISSUER, b"the talks team's secret, 32 byte");
     // The public half of the elliptic curve key as an HS256 secret: the key is for ES256, whatever the header
     // says.
     let point = ec.jwk["x"].as_str().unwrap().as_bytes()[..32].try_into().unwrap();
-    let confused = Signer::new("t-ec", TALKS, point);
+    let confused = Signer::new("t-ec", TALKS_ISSUER, point);
     let other =
         format!("hash:sha-256;{}", base64url(&Sha256::digest(b"https://media.example.org/talks/8.mp4")));
     // The link has a dot in `.mp4` too, so the token is split on its own.
@@ -93,7 +93,7 @@
         ("unknown key", unknown.link(path)),
         ("another algorithm than the key's", confused.link(path)),
         ("another team's key", with(&documents, &|_| ())),
-        ("another team's key, with this team's name", with(&documents, &|c| c["iss"] = json!(TALKS))),
+        ("another team's key, with this team's name", with(&documents, &|c| c["iss"] = json!(TALKS_ISSUER))),
         ("another issuer's name", set("iss", json!(DOCUMENTS))),
         ("expired", set("exp", json!(unix() - 1.0))),
         ("expired, in words", set("exp", json!("tomorrow"))),
@@ -134,7 +134,7 @@
 #[test]
 fn requests_with_different_tokens_share_one_copy_of_an_object() {
     let (talks, documents) = (talks(), documents());
-    let (front, served) = stage("copy", &[&talks, &documents], same);
+    let (front, served) = start_signed_front("copy", &[&talks, &documents], unchanged);
     let (path, cookie) = ("/talks/7.mp4", talks.sign(&talks.claims("/talks/7.mp4")));
     let mut later = talks.claims(path);
     later["exp"] = json!(unix() + 90.0);
@@ -157,10 +157,10 @@
 
 #[test]
 fn a_transfer_completes_after_its_token_and_key_expire_and_the_next_request_is_refused() {
-    let (old, new) = (talks(), Signer::new("t1", TALKS, b"the talks team's 2nd secret, 32b"));
+    let (old, new) = (talks(), Signer::new("t1", TALKS_ISSUER, b"the talks team's 2nd secret, 32b"));
     // The first transfer stays in flight while files are written and read; a long deadline keeps a slow disk
     // from ending it.
-    let (front, served) = stage("rotation", &[&old], |text| {
+    let (front, served) = start_signed_front("rotation", &[&old], |text| {
         text.replace("overlap_s = 300", "overlap_s = 1000").replacen("deadline = 5.0", "deadline = 60.0", 1)
     });
     let path = "/talks/7.mp4";
@@ -223,7 +223,7 @@
 #[test]
 fn validation_ranges_deadlines_and_refusals_have_their_status_codes() {
     let (talks, documents) = (talks(), documents());
-    let (front, served) = stage("answers", &[&talks, &documents], |text| {
+    let (front, served) = start_signed_front("answers", &[&talks, &documents], |text| {
         let text = text.replace("deadline = 5.0", "deadline = 0.5");
         text.replace("semantics = \"deduplicated\"", "semantics = \"at_most_once\"")
     });
@@ -301,7 +301,7 @@
     let (documents, path) = (documents(), "/documents/holds/9");
     let (origin, served) = cache_node();
     let (server, asked) = discovery(vec![("standard", origin), ("origin", origin)]);
-    let front = Front::start("writes", &[&documents], server, |text| {
+    let front = SignedFront::start("writes", &[&documents], server, |text| {
         text.replace("semantics = \"deduplicated\"", "semantics = \"at_most_once\"")
     });
     (0..6).for_each(|_| drop(asked.recv_timeout(PATIENCE).unwrap()));
@@ -319,7 +319,7 @@
 #[test]
 fn team_budgets_are_separate_and_refusals_have_a_retry_after() {
     let (talks, documents) = (talks(), documents());
-    let (front, served) = stage("budgets", &[&talks, &documents], |text| {
+    let (front, served) = start_signed_front("budgets", &[&talks, &documents], |text| {
         text.replace("requests_per_s = 200\nin_flight = 64", "requests_per_s = 0.01\nin_flight = 64")
             .replace("requests_per_s = 50\nin_flight = 16", "requests_per_s = 50\nin_flight = 1")
     });
@@ -339,7 +339,7 @@
 #[test]
 fn malformed_and_oversized_messages_get_an_error_and_a_close() {
     let talks = talks();
-    let (front, served) = stage("messages", &[&talks], same);
+    let (front, served) = start_signed_front("messages", &[&talks], unchanged);
     let link = talks.link("/talks/7.mp4");
     let post = |fields: &str| format!("POST {link} HTTP/1.1\r\nHost: h\r\n{fields}\r\n");
     for (text, code) in [
@@ -369,7 +369,7 @@
 fn without_discovery_requests_are_refused() {
     let talks = talks();
     let unreachable: SocketAddr = "127.0.0.1:9".parse().unwrap();
-    let front = Front::start("alone", &[&talks], unreachable, same);
+    let front = SignedFront::start("alone", &[&talks], unreachable, unchanged);
     let (code, head, _) = front.get(&talks.link("/talks/7.mp4"));
     assert!(code == 503 && head.contains("Retry-After"), "{head}");
 }
@@ -379,7 +379,7 @@
 #[test]
 fn sigterm_closes_no_connection_with_an_unread_answer() {
     let talks = talks();
-    let (front, served) = stage("unread-end", &[&talks], same);
+    let (front, served) = start_signed_front("unread-end", &[&talks], unchanged);
     let link = get(&talks.link("/talks/7.mp4"));
     let mut idle = front.send(&get("/talks/unsigned"));
     assert_eq!(status(read_message(&mut idle)).0, 401);
--- a/tests/stalls.rs
+++ b/tests/stalls.rs
@@ -61,8 +61,8 @@
 
 #[test]
 fn answers_delayed_by_a_paused_cache_node_are_awaited() {
-    in_time(|round| {
-        let (node, served) = one_cache(&format!("held-back-{round}"));
+    retry_if_late(|round| {
+        let (node, served) = front_with_one_cache(&format!("held-back-{round}"));
         let mut client = node.connect();
         for tag in 1..=REQUESTS_IN_FLIGHT {
             ask(&mut client, tag);
@@ -92,7 +92,7 @@
 /// answered requests that were sent after them.
 #[test]
 fn a_paused_front_reads_the_answers_that_arrived_before_it_ejects_a_cache() {
-    let (node, [(_, one), (_, other)]) = two_caches("front-stopped");
+    let (node, [(_, one), (_, other)]) = front_with_two_caches("front-stopped");
     let mut client = node.connect();
     (1..=4 * REQUESTS_IN_FLIGHT).for_each(|tag| ask(&mut client, tag));
     let mut by_cache = [Vec::new(), Vec::new()];
@@ -109,7 +109,7 @@
     assert!(!open.is_empty() && !answered.is_empty(), "both caches have requests");
     answered.iter_mut().for_each(|asked| asked.hit(b"x"));
     assert_eq!(unserved(&mut client, answered.len() as u64), BTreeSet::new());
-    at_once(&node, || {
+    while_stopped(&node, || {
         open.iter_mut().for_each(|asked| asked.hit(b"x"));
         thread::sleep(PAUSE);
     });
--- a/tests/stand_ins/mod.rs
+++ b/tests/stand_ins/mod.rs
@@ -18,7 +18,7 @@
 }
 
 /// A front that serves signed links, started with the operator's example file on ports of the test.
-pub struct Front {
+pub struct SignedFront {
     pub child: Child,
     pub address: SocketAddr,
     pub keys: PathBuf,
@@ -26,7 +26,7 @@
     folder: PathBuf,
 }
 
-impl Front {
+impl SignedFront {
     pub fn start(
         name: &str,
         keys: &[&Signer],
@@ -45,7 +45,7 @@
             .replace("refresh_s = 0.5", "refresh_s = 0.05");
         std::fs::write(&operator, change(text)).unwrap();
         let (child, address, log) = start("ONYXYOKE_OPERATOR", &operator);
-        Front { child, address, keys: key_file, log, folder }
+        SignedFront { child, address, keys: key_file, log, folder }
     }
 
     /// Sends a request on a new connection and reads the answer.
@@ -108,7 +108,7 @@
         .collect()
 }
 
-impl Drop for Front {
+impl Drop for SignedFront {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -117,7 +117,7 @@
 }
 
 pub const EDGE: u32 = 7;
-pub const OTHER: u32 = 8;
+pub const OTHER_EDGE: u32 = 8;
 pub const ORIGIN: u32 = 9;
 pub const OBJECT: &str = "7f3a9c21e0b4d655";
 
@@ -153,7 +153,7 @@
 }
 
 /// A front that the platform configures, with a coordinator.
-pub struct Node {
+pub struct PlatformFront {
     pub child: Child,
     pub address: SocketAddr,
     pub log: Receiver<String>,
@@ -164,13 +164,13 @@
     pub feeds: Receiver<(u64, TcpStream)>,
 }
 
-impl Node {
+impl PlatformFront {
     pub fn start(name: &str, members: Vec<Value>, change: impl Fn(&mut Value)) -> Self {
-        Self::start_in(name, members, change, None)
+        Self::start_in_tmpdir(name, members, change, None)
     }
 
     /// Starts the front with `TMPDIR` set to `tmp`, if there is one.
-    pub fn start_in(
+    pub fn start_in_tmpdir(
         name: &str,
         members: Vec<Value>,
         change: impl Fn(&mut Value),
@@ -193,7 +193,7 @@
             &folder.join("config.json"),
             &variables,
         );
-        Node { child, address, log, folder, tmp: tmp.map(Path::to_owned), feeds }
+        PlatformFront { child, address, log, folder, tmp: tmp.map(Path::to_owned), feeds }
     }
 
     pub fn signal(&self, name: &str) {
@@ -231,7 +231,7 @@
     }
 }
 
-impl Drop for Node {
+impl Drop for PlatformFront {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -257,7 +257,7 @@
     }
 
     /// Sends a request for [`OBJECT`] in the class `media`; `more_fields` follow the usual ones.
-    pub fn ask(&mut self, tag: &str, call: u64, more_fields: &str) {
+    pub fn send_request(&mut self, tag: &str, call: u64, more_fields: &str) {
         let fields =
             format!("call={call:016x},ttl=3000,row={OBJECT},slice=0,set=17,heap=10.5,novel=1{more_fields}");
         self.send(&["REQ", tag, "media", &fields, ""]);
@@ -283,28 +283,35 @@
     }
 
     /// Waits for the end of the connection; returns false if a byte comes first.
-    pub fn closed(&mut self) -> bool {
+    pub fn ends_without_data(&mut self) -> bool {
         at_end(&mut self.reader).unwrap_or(true)
     }
 }
 
 /// Starts a front with one cache node, which is its origin too; returns the front and the node's commands.
-pub fn one_cache(name: &str) -> (Node, Receiver<Served>) {
+pub fn front_with_one_cache(name: &str) -> (PlatformFront, Receiver<Served>) {
     let (cache, served) = cache_node();
     (
-        Node::start(name, vec![member(EDGE, "standard", cache), member(ORIGIN, "origin", cache)], |_| ()),
+        PlatformFront::start(
+            name,
+            vec![member(EDGE, "standard", cache), member(ORIGIN, "origin", cache)],
+            |_| (),
+        ),
         served,
     )
 }
 
 /// Starts a front with two cache nodes, the second of which is its origin too; returns the front and, for
 /// each node, its address and its commands.
-pub fn two_caches(name: &str) -> (Node, [(SocketAddr, Receiver<Served>); 2]) {
+pub fn front_with_two_caches(name: &str) -> (PlatformFront, [(SocketAddr, Receiver<Served>); 2]) {
     let caches = [cache_node(), cache_node()];
     let [one, two] = [caches[0].0, caches[1].0];
-    let members =
-        vec![member(EDGE, "standard", one), member(OTHER, "standard", two), member(ORIGIN, "origin", two)];
-    (Node::start(name, members, |_| ()), caches)
+    let members = vec![
+        member(EDGE, "standard", one),
+        member(OTHER_EDGE, "standard", two),
+        member(ORIGIN, "origin", two),
+    ];
+    (PlatformFront::start(name, members, |_| ()), caches)
 }
 
 /// Waits for the next command at a cache node.
@@ -322,7 +329,7 @@
 }
 
 /// A client that has sent a command, read its answer, and is idle from then on.
-pub fn idle_client(front: &Node) -> Client {
+pub fn idle_client(front: &PlatformFront) -> Client {
     let mut client = front.connect();
     client.send(&["HEALTH", "8", ""]);
     client.answer();
@@ -331,14 +338,14 @@
 
 /// The frame of a keyed request in the class `holds`. The reserve is for that class, so that the front
 /// refuses none of its requests while memory is scarce.
-pub fn hold_frame(tag: u64) -> String {
+pub fn keyed_request_frame(tag: u64) -> String {
     let fields = format!("call={tag:016x},ttl=3000,row={OBJECT},slice=0,set=17,heap=10.5,dedupe=k{tag}");
     frame(&["REQ", &tag.to_string(), "holds", &fields, ""])
 }
 
-/// Sends the request of [`hold_frame`].
-pub fn hold(client: &mut Client, tag: u64) {
-    client.stream.write_all(hold_frame(tag).as_bytes()).unwrap();
+/// Sends the request of [`keyed_request_frame`].
+pub fn send_keyed_request(client: &mut Client, tag: u64) {
+    client.stream.write_all(keyed_request_frame(tag).as_bytes()).unwrap();
 }
 
 /// Returns whether the front has closed the connection.
@@ -348,7 +355,7 @@
 }
 
 /// Replaces the front: registers the test's own process as its successor, and sends SIGTERM.
-pub fn replaced(front: &Node, tmp: &Path) {
+pub fn replace_front(front: &PlatformFront, tmp: &Path) {
     let paths = std::fs::read_dir(tmp).unwrap().map(|entry| entry.unwrap().path());
     for pid_file in paths.filter(|path| path.extension().is_some_and(|e| e == "live")) {
         std::fs::write(pid_file, std::process::id().to_string()).unwrap();
@@ -357,20 +364,24 @@
 }
 
 /// The issuer of the links that [`talks`] signs.
-pub const TALKS: &str = "talks.example.org";
+pub const TALKS_ISSUER: &str = "talks.example.org";
 
 /// The signer of the talks team's links.
 pub fn talks() -> Signer {
-    Signer::new("t1", TALKS, b"the talks team's secret, 32 byte")
+    Signer::new("t1", TALKS_ISSUER, b"the talks team's secret, 32 byte")
 }
 
 /// Starts a front that serves signed links, with a cache node and an origin, and waits until it has applied
 /// the list of nodes. Returns the front and the cache node's commands.
-pub fn stage(name: &str, keys: &[&Signer], change: impl Fn(String) -> String) -> (Front, Receiver<Served>) {
+pub fn start_signed_front(
+    name: &str,
+    keys: &[&Signer],
+    change: impl Fn(String) -> String,
+) -> (SignedFront, Receiver<Served>) {
     let (cache, served) = cache_node();
     let (origin, origin_commands) = cache_node();
     let (server, requests) = discovery(vec![("standard", cache), ("origin", origin)]);
-    let front = Front::start(name, keys, server, change);
+    let front = SignedFront::start(name, keys, server, change);
     // The third request for a resource type shows that the front has applied the first two answers.
     (0..6).for_each(|_| drop(requests.recv_timeout(PATIENCE).unwrap()));
     assert_eq!(requests.recv_timeout(PATIENCE).unwrap()["version_info"], "1");
@@ -380,7 +391,7 @@
 }
 
 /// Leaves a configuration file as it is.
-pub fn same(text: String) -> String {
+pub fn unchanged(text: String) -> String {
     text
 }
 
@@ -393,7 +404,7 @@
 const MAX_ROUNDS: u32 = 5;
 
 /// Stops the front while `events` runs, so that it then finds all of these events at once.
-pub fn at_once<T>(front: &Node, events: impl FnOnce() -> T) -> T {
+pub fn while_stopped<T>(front: &PlatformFront, events: impl FnOnce() -> T) -> T {
     eventually("the front waits for events", || process_state(front) == SLEEPING);
     front.signal("-STOP");
     eventually("the front is stopped", || process_state(front) == STOPPED);
@@ -403,14 +414,14 @@
 }
 
 /// The state of the front's process.
-fn process_state(front: &Node) -> char {
+fn process_state(front: &PlatformFront) -> char {
     let stat = std::fs::read_to_string(format!("/proc/{}/stat", front.child.id())).unwrap();
     let (_, fields_after_name) = stat.rsplit_once(") ").unwrap();
     fields_after_name.chars().next().unwrap()
 }
 
 /// Runs a test until it returns `Some`. It returns `None` if the machine was too slow for its time limits.
-pub fn in_time(mut run: impl FnMut(&str) -> Option<()>) {
+pub fn retry_if_late(mut run: impl FnMut(&str) -> Option<()>) {
     let in_time = (0..MAX_ROUNDS).any(|round| run(&format!("round-{round}")).is_some());
     assert!(in_time, "the machine was too slow in each of {MAX_ROUNDS} rounds");
 }
