--- a/src/rollout/change.rs
+++ b/src/rollout/change.rs
@@ -72,40 +72,40 @@
 
 /// Spans (seconds).
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Times {
+pub struct ChangeTimeouts {
     /// A process says yes within so long of its start.
-    pub start: f64,
+    pub start_s: f64,
     /// It says yes for so long before the one before it is told to end.
-    pub steady: f64,
+    pub steady_s: f64,
     /// It ends within so long of SIGTERM, else it is killed.
-    pub end: f64,
+    pub end_s: f64,
     /// A try to start a process where none serves is followed by another after so long.
-    pub again: f64,
+    pub retry_s: f64,
 }
 
 /// Tries to start a process where none serves, after which the front counts as lost; they go on.
-const TRIES: u32 = 4;
+const TRIES_UNTIL_LOST: u32 = 4;
 
 /// Where a change stands.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Phase {
+pub enum ChangePhase {
     /// Nothing is under way.
     Settled,
     /// A further process is on its way, and has said yes since.
-    Coming {
+    Starting {
         /// Which.
         next: Run,
         /// What it is to run.
-        to: Release,
+        target: Release,
         /// Since when.
         since: f64,
         /// Since when it says yes.
-        yes: Option<f64>,
+        ready_since: Option<f64>,
     },
     /// It serves; the one before it was told to end.
-    Leaving {
+    StoppingPrevious {
         /// Which.
-        old: Run,
+        previous: Run,
         /// Since when.
         since: f64,
         /// It was killed.
@@ -120,7 +120,7 @@
         /// It was killed.
         killed: bool,
         /// What it was to run.
-        to: Release,
+        target: Release,
     },
     /// Nothing serves: a process is started, again and again.
     Down {
@@ -136,69 +136,73 @@
     /// The process was told to read its settings again.
     Reloading {
         /// What it is to run.
-        to: Release,
+        target: Release,
         /// Since when.
         since: f64,
         /// It was told to go back to what it had.
-        back: bool,
+        reverting: bool,
     },
 }
 
 /// A front.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Change {
-    times: Times,
+    timeouts: ChangeTimeouts,
     /// All changed settings take effect in service.
     reload: bool,
     /// Which process serves, and what it runs.
     serving: Option<(Run, Release)>,
-    phase: Phase,
+    phase: ChangePhase,
     /// The number of the process that is started next.
     next: Run,
     /// Since when the one that serves is silent.
-    silent: Option<f64>,
+    silent_since: Option<f64>,
     /// Processes that were told to end while something else was under way, and since when.
     leftovers: Vec<(Run, f64)>,
 }
 
 impl Change {
     /// A front whose process `run` serves.
-    pub fn new(times: Times, reload: bool, run: Run, side: Release) -> Change {
-        let phase = Phase::Settled;
-        let serving = Some((run, side));
-        Change { times, reload, serving, phase, next: run + 1, silent: None, leftovers: Vec::new() }
+    pub fn new(timeouts: ChangeTimeouts, reload: bool, run: Run, release: Release) -> Change {
+        let phase = ChangePhase::Settled;
+        let serving = Some((run, release));
+        Change { timeouts, reload, serving, phase, next: run + 1, silent_since: None, leftovers: Vec::new() }
     }
 
     /// A front as it was found: processes with what they said and what they were started to run, the oldest first;
     /// `next` is the first free number. Of two, the newer takes over if it says yes to a side; else it is withdrawn.
-    pub fn found(
+    pub fn recover(
         now: f64,
-        times: Times,
+        timeouts: ChangeTimeouts,
         reload: bool,
         runs: &[(Run, Health, Release)],
         next: Run,
-        orders: &mut Vec<ProcessCommand>,
+        commands: &mut Vec<ProcessCommand>,
     ) -> Change {
-        let said = |h: Health| if let Health::Yes(side) = h { Some(side) } else { None };
-        let mut change = Change { next, serving: None, ..Change::new(times, reload, 0, Release::Old) };
+        let reported = |h: Health| if let Health::Yes(release) = h { Some(release) } else { None };
+        let mut change = Change { next, serving: None, ..Change::new(timeouts, reload, 0, Release::Old) };
         match *runs {
-            [] => change.revive(now, 0, orders),
-            [(run, health, side)] => change.serving = Some((run, said(health).unwrap_or(side))),
-            [.., (old, was, side), (new, is, _)] => {
+            [] => change.restart_front(now, 0, commands),
+            [(run, health, release)] => change.serving = Some((run, reported(health).unwrap_or(release))),
+            [.., (previous, was, release), (new, is, _)] => {
                 // Whatever is older still was to end.
                 let older = runs[..runs.len() - 2].iter().map(|r| r.0);
-                orders.extend(older.clone().map(ProcessCommand::Term));
+                commands.extend(older.clone().map(ProcessCommand::Term));
                 change.leftovers.extend(older.map(|run| (run, now)));
-                if let Some(side) = said(is) {
-                    change.serving = Some((new, side));
-                    change.phase = Phase::Leaving { old, since: now, killed: false };
-                    orders.push(ProcessCommand::Term(old));
+                if let Some(release) = reported(is) {
+                    change.serving = Some((new, release));
+                    change.phase = ChangePhase::StoppingPrevious { previous, since: now, killed: false };
+                    commands.push(ProcessCommand::Term(previous));
                 } else {
                     // Withdrawn, it costs nothing; whether it would have come is not known.
-                    change.serving = Some((old, said(was).unwrap_or(side)));
-                    change.phase =
-                        Phase::Withdrawing { next: new, since: now, killed: false, to: Release::New };
-                    orders.push(ProcessCommand::Term(new));
+                    change.serving = Some((previous, reported(was).unwrap_or(release)));
+                    change.phase = ChangePhase::Withdrawing {
+                        next: new,
+                        since: now,
+                        killed: false,
+                        target: Release::New,
+                    };
+                    commands.push(ProcessCommand::Term(new));
                 }
             }
         }
@@ -211,270 +215,285 @@
     }
 
     /// Where it stands.
-    pub fn phase(&self) -> Phase {
+    pub fn phase(&self) -> ChangePhase {
         self.phase
     }
 
     /// Is nothing under way, and one process there and no other?
     pub fn settled(&self) -> bool {
-        self.phase == Phase::Settled && self.leftovers.is_empty()
+        self.phase == ChangePhase::Settled && self.leftovers.is_empty()
     }
 
     /// Is a process of this side serving, or on its way to?
-    pub fn towards(&self, side: Release) -> bool {
+    pub fn targets(&self, release: Release) -> bool {
         match self.phase {
-            Phase::Coming { to, .. } | Phase::Reloading { to, back: false, .. } => to == side,
-            _ => self.serving.is_some_and(|s| s.1 == side),
+            ChangePhase::Starting { target, .. }
+            | ChangePhase::Reloading { target, reverting: false, .. } => target == release,
+            _ => self.serving.is_some_and(|s| s.1 == release),
         }
     }
 
     /// For how long the process that serves has been silent (seconds).
-    pub fn silence(&self, now: f64) -> f64 {
-        self.silent.map_or(0.0, |since| now - since)
+    pub fn silent_for(&self, now: f64) -> f64 {
+        self.silent_since.map_or(0.0, |since| now - since)
     }
 
     /// A span passed in which nobody looked: it counts for nothing.
-    pub fn skip(&mut self, gap: f64) {
+    pub fn exclude_gap(&mut self, gap: f64) {
         match &mut self.phase {
-            Phase::Settled => {}
-            Phase::Coming { since, yes, .. } => {
+            ChangePhase::Settled => {}
+            ChangePhase::Starting { since, ready_since, .. } => {
                 *since += gap;
-                *yes = None;
+                *ready_since = None;
             }
-            Phase::Leaving { since, .. }
-            | Phase::Withdrawing { since, .. }
-            | Phase::Down { since, .. }
-            | Phase::Reloading { since, .. } => *since += gap,
+            ChangePhase::StoppingPrevious { since, .. }
+            | ChangePhase::Withdrawing { since, .. }
+            | ChangePhase::Down { since, .. }
+            | ChangePhase::Reloading { since, .. } => *since += gap,
         }
-        self.silent = None;
+        self.silent_since = None;
         self.leftovers.iter_mut().for_each(|l| l.1 += gap);
     }
 
     /// A settled front goes to this side; one that is there starts a process anew all the same.
-    pub fn go(&mut self, now: f64, to: Release, orders: &mut Vec<ProcessCommand>) {
-        let (true, Some((run, side))) = (self.settled(), self.serving) else { return };
-        if self.reload && side != to {
-            self.phase = Phase::Reloading { to, since: now, back: false };
-            return orders.push(ProcessCommand::Reload(run, to));
+    pub fn start_change(&mut self, now: f64, target: Release, commands: &mut Vec<ProcessCommand>) {
+        let (true, Some((run, release))) = (self.settled(), self.serving) else { return };
+        if self.reload && release != target {
+            self.phase = ChangePhase::Reloading { target, since: now, reverting: false };
+            return commands.push(ProcessCommand::Reload(run, target));
         }
-        let next = self.number();
-        self.phase = Phase::Coming { next, to, since: now, yes: None };
-        orders.push(ProcessCommand::Start(next, to));
+        let next = self.allocate_run();
+        self.phase = ChangePhase::Starting { next, target, since: now, ready_since: None };
+        commands.push(ProcessCommand::Start(next, target));
     }
 
     /// What is on its way to the new side is not wanted any more.
-    pub fn call_back(&mut self, now: f64, orders: &mut Vec<ProcessCommand>) {
+    pub fn cancel_change(&mut self, now: f64, commands: &mut Vec<ProcessCommand>) {
         match self.phase {
-            Phase::Coming { next, to: Release::New, .. } => self.withdraw(now, next, Release::New, orders),
-            Phase::Reloading { to: Release::New, back: false, .. } => {
-                let Some((run, side)) = self.serving else { return };
-                self.phase = Phase::Reloading { to: Release::New, since: now, back: true };
-                orders.push(ProcessCommand::Reload(run, side));
+            ChangePhase::Starting { next, target: Release::New, .. } => {
+                self.withdraw(now, next, Release::New, commands)
+            }
+            ChangePhase::Reloading { target: Release::New, reverting: false, .. } => {
+                let Some((run, release)) = self.serving else { return };
+                self.phase = ChangePhase::Reloading { target: Release::New, since: now, reverting: true };
+                commands.push(ProcessCommand::Reload(run, release));
             }
             _ => {}
         }
     }
 
-    fn number(&mut self) -> Run {
+    fn allocate_run(&mut self) -> Run {
         self.next += 1;
         self.next - 1
     }
 
     /// Starts a process where none serves: of what ran before, which is known to serve.
-    fn revive(&mut self, now: f64, tries: u32, orders: &mut Vec<ProcessCommand>) {
+    fn restart_front(&mut self, now: f64, tries: u32, commands: &mut Vec<ProcessCommand>) {
         // What was to end still has to.
-        if let Phase::Leaving { old: run, since, .. } | Phase::Withdrawing { next: run, since, .. } =
-            self.phase
+        if let ChangePhase::StoppingPrevious { previous: run, since, .. }
+        | ChangePhase::Withdrawing { next: run, since, .. } = self.phase
         {
             self.leftovers.push((run, since));
         }
-        let next = self.number();
-        self.phase = Phase::Down { next, since: now, failed: false, tries };
-        orders.push(ProcessCommand::Start(next, Release::Old));
+        let next = self.allocate_run();
+        self.phase = ChangePhase::Down { next, since: now, failed: false, tries };
+        commands.push(ProcessCommand::Start(next, Release::Old));
     }
 
     /// Hears of one of its processes; what is to be done, and what came of it.
-    pub fn hear(
+    pub fn handle_event(
         &mut self,
         now: f64,
         event: Event,
-        orders: &mut Vec<ProcessCommand>,
-        notices: &mut Vec<ProcessEvent>,
+        commands: &mut Vec<ProcessCommand>,
+        events: &mut Vec<ProcessEvent>,
     ) {
         match event {
-            Event::Said(run, health) => self.said(now, run, health, orders, notices),
-            Event::NotStarted(run) | Event::Ended(run) => self.ended(now, run, orders, notices),
+            Event::Said(run, health) => self.handle_answer(now, run, health, commands, events),
+            Event::NotStarted(run) | Event::Ended(run) => self.handle_exit(now, run, commands, events),
         }
     }
 
-    fn said(
+    fn handle_answer(
         &mut self,
         now: f64,
         run: Run,
         health: Health,
-        orders: &mut Vec<ProcessCommand>,
-        notices: &mut Vec<ProcessEvent>,
+        commands: &mut Vec<ProcessCommand>,
+        events: &mut Vec<ProcessEvent>,
     ) {
         if self.serving.is_some_and(|s| s.0 == run) {
             match health {
-                Health::Silent | Health::No => _ = self.silent.get_or_insert(now),
-                _ => self.silent = None,
+                Health::Silent | Health::No => _ = self.silent_since.get_or_insert(now),
+                _ => self.silent_since = None,
             }
         }
         match self.phase {
-            Phase::Coming { next, to, since, yes } if next == run => match health {
-                Health::Yes(side) if side == to => {
-                    let from = *yes.as_ref().unwrap_or(&now);
-                    if now - from < self.times.steady || yes.is_none() && self.times.steady > 0.0 {
-                        self.phase = Phase::Coming { next, to, since, yes: Some(from) };
+            ChangePhase::Starting { next, target, since, ready_since } if next == run => match health {
+                Health::Yes(release) if release == target => {
+                    let from = *ready_since.as_ref().unwrap_or(&now);
+                    if now - from < self.timeouts.steady_s
+                        || ready_since.is_none() && self.timeouts.steady_s > 0.0
+                    {
+                        self.phase = ChangePhase::Starting { next, target, since, ready_since: Some(from) };
                         return;
                     }
-                    let before = self.serving.replace((next, to));
-                    self.silent = None;
+                    let before = self.serving.replace((next, target));
+                    self.silent_since = None;
                     match before {
-                        Some((old, _)) => {
-                            orders.push(ProcessCommand::Term(old));
-                            self.phase = Phase::Leaving { old, since: now, killed: false };
+                        Some((previous, _)) => {
+                            commands.push(ProcessCommand::Term(previous));
+                            self.phase =
+                                ChangePhase::StoppingPrevious { previous, since: now, killed: false };
                         }
                         // The one before ended by itself meanwhile.
                         None => {
-                            self.phase = Phase::Settled;
-                            notices.push(ProcessEvent::Changed(to));
+                            self.phase = ChangePhase::Settled;
+                            events.push(ProcessEvent::Changed(target));
                         }
                     }
                 }
-                Health::Yes(_) | Health::Other => self.withdraw(now, next, to, orders),
-                Health::No | Health::Silent => self.phase = Phase::Coming { next, to, since, yes: None },
+                Health::Yes(_) | Health::Other => self.withdraw(now, next, target, commands),
+                Health::No | Health::Silent => {
+                    self.phase = ChangePhase::Starting { next, target, since, ready_since: None }
+                }
             },
-            Phase::Down { next, .. } if next == run => {
-                if let Health::Yes(side) = health {
-                    self.serving = Some((next, side));
-                    self.phase = Phase::Settled;
-                    notices.push(ProcessEvent::Changed(side));
+            ChangePhase::Down { next, .. } if next == run => {
+                if let Health::Yes(release) = health {
+                    self.serving = Some((next, release));
+                    self.phase = ChangePhase::Settled;
+                    events.push(ProcessEvent::Changed(release));
                 }
             }
-            Phase::Reloading { to, back, .. } if self.serving.is_some_and(|s| s.0 == run) => {
-                let wanted = if back { self.serving.map_or(Release::Old, |s| s.1) } else { to };
+            ChangePhase::Reloading { target, reverting, .. } if self.serving.is_some_and(|s| s.0 == run) => {
+                let wanted = if reverting { self.serving.map_or(Release::Old, |s| s.1) } else { target };
                 if health == Health::Yes(wanted) {
-                    self.phase = Phase::Settled;
+                    self.phase = ChangePhase::Settled;
                     self.serving = Some((run, wanted));
-                    notices.push(if back { ProcessEvent::GaveUp(to) } else { ProcessEvent::Changed(to) });
+                    events.push(if reverting {
+                        ProcessEvent::GaveUp(target)
+                    } else {
+                        ProcessEvent::Changed(target)
+                    });
                 }
             }
             _ => {}
         }
     }
 
-    fn withdraw(&mut self, now: f64, next: Run, to: Release, orders: &mut Vec<ProcessCommand>) {
-        orders.push(ProcessCommand::Term(next));
-        self.phase = Phase::Withdrawing { next, since: now, killed: false, to };
+    fn withdraw(&mut self, now: f64, next: Run, target: Release, commands: &mut Vec<ProcessCommand>) {
+        commands.push(ProcessCommand::Term(next));
+        self.phase = ChangePhase::Withdrawing { next, since: now, killed: false, target };
     }
 
-    fn ended(
+    fn handle_exit(
         &mut self,
         now: f64,
         run: Run,
-        orders: &mut Vec<ProcessCommand>,
-        notices: &mut Vec<ProcessEvent>,
+        commands: &mut Vec<ProcessCommand>,
+        events: &mut Vec<ProcessEvent>,
     ) {
         self.leftovers.retain(|l| l.0 != run);
         let served = self.serving.filter(|s| s.0 == run);
-        if let Some((_, side)) = served {
+        if let Some((_, release)) = served {
             self.serving = None;
-            self.silent = None;
-            notices.push(ProcessEvent::Crashed(side));
+            self.silent_since = None;
+            events.push(ProcessEvent::Crashed(release));
         }
         match self.phase {
-            Phase::Coming { next, to, .. } if next == run => {
-                notices.push(ProcessEvent::GaveUp(to));
-                self.rest(now, orders);
+            ChangePhase::Starting { next, target, .. } if next == run => {
+                events.push(ProcessEvent::GaveUp(target));
+                self.settle(now, commands);
             }
             // It may yet say yes; if not, another is started then.
-            Phase::Coming { .. } => {}
-            Phase::Withdrawing { next, to, .. } if next == run => {
-                notices.push(ProcessEvent::GaveUp(to));
-                self.rest(now, orders);
+            ChangePhase::Starting { .. } => {}
+            ChangePhase::Withdrawing { next, target, .. } if next == run => {
+                events.push(ProcessEvent::GaveUp(target));
+                self.settle(now, commands);
             }
-            Phase::Leaving { old, .. } if old == run => {
-                self.phase = Phase::Settled;
-                notices.extend(self.serving.map(|s| ProcessEvent::Changed(s.1)));
+            ChangePhase::StoppingPrevious { previous, .. } if previous == run => {
+                self.phase = ChangePhase::Settled;
+                events.extend(self.serving.map(|s| ProcessEvent::Changed(s.1)));
             }
-            Phase::Down { next, since, tries, .. } if next == run => {
-                self.phase = Phase::Down { next, since: since.max(now), failed: true, tries };
+            ChangePhase::Down { next, since, tries, .. } if next == run => {
+                self.phase = ChangePhase::Down { next, since: since.max(now), failed: true, tries };
             }
-            Phase::Reloading { to, .. } if served.is_some() => {
-                notices.push(ProcessEvent::GaveUp(to));
-                self.revive(now, 0, orders);
+            ChangePhase::Reloading { target, .. } if served.is_some() => {
+                events.push(ProcessEvent::GaveUp(target));
+                self.restart_front(now, 0, commands);
             }
-            Phase::Settled | Phase::Leaving { .. } | Phase::Withdrawing { .. } if served.is_some() => {
-                self.revive(now, 0, orders);
+            ChangePhase::Settled | ChangePhase::StoppingPrevious { .. } | ChangePhase::Withdrawing { .. }
+                if served.is_some() =>
+            {
+                self.restart_front(now, 0, commands);
             }
             _ => {}
         }
     }
 
     /// Nothing more is under way; where nothing serves, a process is started.
-    fn rest(&mut self, now: f64, orders: &mut Vec<ProcessCommand>) {
-        self.phase = Phase::Settled;
+    fn settle(&mut self, now: f64, commands: &mut Vec<ProcessCommand>) {
+        self.phase = ChangePhase::Settled;
         if self.serving.is_none() {
-            self.revive(now, 0, orders);
+            self.restart_front(now, 0, commands);
         }
     }
 
     /// Time has passed.
-    pub fn tick(&mut self, now: f64, orders: &mut Vec<ProcessCommand>, notices: &mut Vec<ProcessEvent>) {
-        let times = self.times;
+    pub fn tick(&mut self, now: f64, commands: &mut Vec<ProcessCommand>, events: &mut Vec<ProcessEvent>) {
+        let timeouts = self.timeouts;
         for (run, since) in &mut self.leftovers {
-            if now - *since > times.end {
+            if now - *since > timeouts.end_s {
                 *since = now;
-                orders.push(ProcessCommand::Kill(*run));
-                notices.push(ProcessEvent::Killed);
+                commands.push(ProcessCommand::Kill(*run));
+                events.push(ProcessEvent::Killed);
             }
         }
         match &mut self.phase {
-            Phase::Settled => {}
-            &mut Phase::Coming { next, to, since, .. } => {
-                if now - since > times.start {
-                    self.withdraw(now, next, to, orders);
+            ChangePhase::Settled => {}
+            &mut ChangePhase::Starting { next, target, since, .. } => {
+                if now - since > timeouts.start_s {
+                    self.withdraw(now, next, target, commands);
                 }
             }
-            Phase::Leaving { old: run, since, killed, .. }
-            | Phase::Withdrawing { next: run, since, killed, .. } => {
-                if now - *since > times.end {
-                    orders.push(ProcessCommand::Kill(*run));
+            ChangePhase::StoppingPrevious { previous: run, since, killed, .. }
+            | ChangePhase::Withdrawing { next: run, since, killed, .. } => {
+                if now - *since > timeouts.end_s {
+                    commands.push(ProcessCommand::Kill(*run));
                     if !*killed {
-                        notices.push(ProcessEvent::Killed);
+                        events.push(ProcessEvent::Killed);
                     }
                     (*killed, *since) = (true, now);
                 }
             }
-            &mut Phase::Down { next, since, failed, tries } => {
-                let late = !failed && now - since > times.start;
+            &mut ChangePhase::Down { next, since, failed, tries } => {
+                let late = !failed && now - since > timeouts.start_s;
                 if late {
-                    orders.push(ProcessCommand::Kill(next));
+                    commands.push(ProcessCommand::Kill(next));
                     self.leftovers.push((next, now));
                 }
-                if late || failed && now - since > times.again * f64::from(1 << tries.min(4)) {
-                    if tries + 1 == TRIES {
-                        notices.push(ProcessEvent::Lost);
+                if late || failed && now - since > timeouts.retry_s * f64::from(1 << tries.min(4)) {
+                    if tries + 1 == TRIES_UNTIL_LOST {
+                        events.push(ProcessEvent::Lost);
                     }
-                    self.revive(now, tries + 1, orders);
+                    self.restart_front(now, tries + 1, commands);
                 }
             }
-            &mut Phase::Reloading { to, since, back } => {
-                if now - since <= times.start {
+            &mut ChangePhase::Reloading { target, since, reverting } => {
+                if now - since <= timeouts.start_s {
                     return;
                 }
-                let Some((run, side)) = self.serving else { return };
-                if back {
+                let Some((run, release)) = self.serving else { return };
+                if reverting {
                     // It does not heed its settings either way: a process beside it is the way that is left.
-                    notices.push(ProcessEvent::GaveUp(to));
-                    let next = self.number();
-                    self.phase = Phase::Coming { next, to: side, since: now, yes: None };
-                    return orders.push(ProcessCommand::Start(next, side));
+                    events.push(ProcessEvent::GaveUp(target));
+                    let next = self.allocate_run();
+                    self.phase =
+                        ChangePhase::Starting { next, target: release, since: now, ready_since: None };
+                    return commands.push(ProcessCommand::Start(next, release));
                 }
-                self.phase = Phase::Reloading { to, since: now, back: true };
-                orders.push(ProcessCommand::Reload(run, side));
+                self.phase = ChangePhase::Reloading { target, since: now, reverting: true };
+                commands.push(ProcessCommand::Reload(run, release));
             }
         }
     }
--- a/src/rollout/controller/report.rs
+++ b/src/rollout/controller/report.rs
@@ -1,7 +1,7 @@
 //! Where a rollout stands, for people.
 
 use super::{Phase, RolloutController};
-use crate::rollout::change::{Phase as Step, Release};
+use crate::rollout::change::{ChangePhase, Release};
 use crate::rollout::gate::{COUNTED, Undecided};
 use crate::rollout::records::Outcome;
 use crate::rollout::window::ClassCounts;
@@ -47,11 +47,11 @@
     /// Where it stands.
     pub fn report(&self, now: f64) -> Report {
         let mut counts = [0; 4];
-        for m in &self.members {
+        for m in &self.fronts {
             let i = match (m.change.phase(), m.change.serving()) {
-                (Step::Settled, Some(_)) if m.change.silence(now) > self.plan.spans.stale_s => 3,
-                (Step::Settled, Some((_, Release::Old))) => 0,
-                (Step::Settled, Some((_, Release::New))) => 1,
+                (ChangePhase::Settled, Some(_)) if m.change.silent_for(now) > self.plan.spans.stale_s => 3,
+                (ChangePhase::Settled, Some((_, Release::Old))) => 0,
+                (ChangePhase::Settled, Some((_, Release::New))) => 1,
                 _ => 2,
             };
             counts[i] += 1;
@@ -60,13 +60,13 @@
             Phase::Watching => "watching what is there".to_owned(),
             Phase::Changing => format!("changing stage {}", self.stage + 1),
             Phase::Soaking { .. } => format!("watching stage {}", self.stage + 1),
-            Phase::Back { .. } => "going back".to_owned(),
+            Phase::RollingBack { .. } => "going back".to_owned(),
             Phase::Ended(end) => format!("{end:?}").to_lowercase(),
         };
         let (evidence, bound) = self.gate.evidence();
         let fronts = self.stages.get(self.stage).map(|stage| &stage.fronts);
         let undecided = fronts.and_then(|fronts| self.gate.undecided(now, fronts));
-        let pair = |s: &[ClassCounts; 2]| [(s[0].asked, s[0].unserved), (s[1].asked, s[1].unserved)];
+        let pair = |s: &[ClassCounts; 2]| [(s[0].requests, s[0].unserved), (s[1].requests, s[1].unserved)];
         Report {
             phase,
             stage: self.stage,
@@ -75,14 +75,14 @@
             new: counts[1],
             changing: counts[2],
             silent: counts[3],
-            paused: self.paused.is_some(),
-            held: self.health.in_trouble(),
+            paused: self.paused_since.is_some(),
+            held: self.fleet_health.is_degraded(),
             undecided,
-            why: self.why.clone(),
+            why: self.rollback_reason.clone(),
             end: self.ended(),
             evidence,
             bound,
-            sums: self.sums.iter().map(pair).collect(),
+            sums: self.stage_counts.iter().map(pair).collect(),
         }
     }
 }
--- a/src/rollout/controller/rollback.rs
+++ b/src/rollout/controller/rollback.rs
@@ -1,43 +1,44 @@
 //! The way back: every front runs the old side again, or is told to be stuck.
 
-use super::{Member, Phase, RolloutController};
+use super::{FrontState, Phase, RolloutController};
 use crate::rollout::change::Release;
 use crate::rollout::records::{Outcome, Record};
 
 /// A front that could not be brought back is tried so many times before the others count as all that is left.
-const ROLLBACK_TRIES: u32 = 4;
+const MAX_ROLLBACK_TRIES: u32 = 4;
 
 impl RolloutController {
     /// The fronts go back from now on, as many at once as went there.
-    pub(super) fn back(&mut self, now: f64, why: String, aborted: bool) {
-        self.keep(Record::RollbackStarted { why: why.clone(), aborted });
-        (self.why, self.phase) = (Some(why), Phase::Back { aborted });
-        for front in 0..self.members.len() {
-            (self.members[front].restart, self.members[front].failed) = (false, 0);
-            self.members[front].again = now;
-            self.drive(now, front, |change, orders, _| change.call_back(now, orders));
+    pub(super) fn start_rollback(&mut self, now: f64, why: String, aborted: bool) {
+        self.push_record(Record::RollbackStarted { why: why.clone(), aborted });
+        (self.rollback_reason, self.phase) = (Some(why), Phase::RollingBack { aborted });
+        for front in 0..self.fronts.len() {
+            (self.fronts[front].restart_due, self.fronts[front].failed_changes) = (false, 0);
+            self.fronts[front].retry_at = now;
+            self.update_front(now, front, |change, commands, _| change.cancel_change(now, commands));
         }
-        self.go_back(now, aborted);
+        self.step_rollback(now, aborted);
     }
 
     /// Fronts go back, as many at once as went there; one that does not is tried again, and the rest goes on.
-    pub(super) fn go_back(&mut self, now: f64, aborted: bool) {
-        for front in 0..self.members.len() {
-            let member = &self.members[front];
-            if member.change.towards(Release::Old) || member.stuck {
+    pub(super) fn step_rollback(&mut self, now: f64, aborted: bool) {
+        for front in 0..self.fronts.len() {
+            let state = &self.fronts[front];
+            if state.change.targets(Release::Old) || state.rollback_failed {
                 continue;
             }
-            if member.failed >= ROLLBACK_TRIES {
-                self.members[front].stuck = true;
-                self.keep(Record::RollbackFailed(front));
+            if state.failed_changes >= MAX_ROLLBACK_TRIES {
+                self.fronts[front].rollback_failed = true;
+                self.push_record(Record::RollbackFailed(front));
                 continue;
             }
-            self.send(now, front, Release::Old);
+            self.change_front(now, front, Release::Old);
         }
-        let there = |m: &Member| m.change.settled() && (m.stuck || m.change.towards(Release::Old));
-        if self.members.iter().all(there) {
-            let stuck = self.members.iter().any(|m| m.stuck);
-            self.end(match (stuck, aborted) {
+        let there =
+            |m: &FrontState| m.change.settled() && (m.rollback_failed || m.change.targets(Release::Old));
+        if self.fronts.iter().all(there) {
+            let rollback_failed = self.fronts.iter().any(|m| m.rollback_failed);
+            self.finish(match (rollback_failed, aborted) {
                 (true, _) => Outcome::Failed,
                 (false, true) => Outcome::Aborted,
                 (false, false) => Outcome::Stopped,
--- a/src/rollout/evidence.rs
+++ b/src/rollout/evidence.rs
@@ -7,27 +7,27 @@
 //! mixture sequential probability ratio test: Robbins, 1970).
 
 /// Rates beside the old ones' that are mixed: a tenth more up to whatever counts as broken.
-const TIMES: [f64; 7] = [1.1, 1.25, 1.5, 2.0, 4.0, 10.0, 30.0];
+const RATE_RATIOS: [f64; 7] = [1.1, 1.25, 1.5, 2.0, 4.0, 10.0, 30.0];
 
-/// What speaks for new being worse, as a likelihood ratio for each of `TIMES`, in logarithms.
+/// What speaks for new being worse, as a likelihood ratio for each of `RATE_RATIOS`, in logarithms.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Evidence([f64; TIMES.len()]);
+pub struct Evidence([f64; RATE_RATIOS.len()]);
 
 impl Evidence {
     /// Of `all` bad events `worse` were the new ones', whose part of what was asked was `share`. What comes in clumps
-    /// is worth less: it is divided by `clumps` (1 at least), which must be known from before.
-    pub fn saw(&mut self, worse: f64, all: f64, share: f64, clumps: f64) {
+    /// is worth less: it is divided by `dispersion` (1 at least), which must be known from before.
+    pub fn observe(&mut self, worse: f64, all: f64, share: f64, dispersion: f64) {
         // Where nothing was asked of either there is no share, and events say nothing.
         if all <= 0.0 || !(share > 0.0 && share < 1.0) {
             return;
         }
-        for (log, times) in self.0.iter_mut().zip(TIMES) {
-            *log += (worse * times.ln() - all * (1.0 + share * (times - 1.0)).ln()) / clumps.max(1.0);
+        for (log, times) in self.0.iter_mut().zip(RATE_RATIOS) {
+            *log += (worse * times.ln() - all * (1.0 + share * (times - 1.0)).ln()) / dispersion.max(1.0);
         }
     }
 
     /// The mixture's logarithm: that of the factor by which worse is likelier than alike.
-    pub fn log(&self) -> f64 {
+    pub fn log_ratio(&self) -> f64 {
         log_mean(&self.0)
     }
 }
@@ -39,7 +39,7 @@
 }
 
 /// The chance that of `all` events at least `seen` fall on a group whose part is `share`, if chance alone decides.
-pub fn tail(seen: u64, all: u64, share: f64) -> f64 {
+pub fn binomial_tail(seen: u64, all: u64, share: f64) -> f64 {
     if seen == 0 || share >= 1.0 {
         return 1.0;
     }
@@ -67,8 +67,8 @@
         let mut evidence = Evidence::default();
         let new = share * times / (share * times + 1.0 - share);
         for n in 1..=most {
-            evidence.saw(f64::from(u8::from(random.f64() < new)), 1.0, share, 1.0);
-            if evidence.log() > 100f64.ln() {
+            evidence.observe(f64::from(u8::from(random.f64() < new)), 1.0, share, 1.0);
+            if evidence.log_ratio() > 100f64.ln() {
                 return Some(n);
             }
         }
@@ -99,20 +99,20 @@
     #[test]
     fn a_window_without_a_share_changes_nothing() {
         let mut evidence = Evidence::default();
-        evidence.saw(2.0, 2.0, 0.5, 1.0);
+        evidence.observe(2.0, 2.0, 0.5, 1.0);
         let before = evidence;
         for share in [f64::NAN, 0.0, 1.0] {
-            evidence.saw(1.0, 1.0, share, 1.0);
+            evidence.observe(1.0, 1.0, share, 1.0);
         }
         assert_eq!(evidence, before);
-        assert!(evidence.log().is_finite());
+        assert!(evidence.log_ratio().is_finite());
     }
 
     #[test]
     fn a_tail_is_a_binomials() {
-        assert!((tail(1, 1, 0.01) - 0.01).abs() < 1e-12);
-        assert!((tail(2, 3, 0.5) - 0.5).abs() < 1e-12);
-        assert_eq!((tail(0, 9, 0.3), tail(4, 3, 0.3)), (1.0, 0.0));
-        assert!(tail(1, 138, 1.0 / 300.0) > 0.3, "one of many");
+        assert!((binomial_tail(1, 1, 0.01) - 0.01).abs() < 1e-12);
+        assert!((binomial_tail(2, 3, 0.5) - 0.5).abs() < 1e-12);
+        assert_eq!((binomial_tail(0, 9, 0.3), binomial_tail(4, 3, 0.3)), (1.0, 0.0));
+        assert!(binomial_tail(1, 138, 1.0 / 300.0) > 0.3, "one of many");
     }
 }
--- a/src/rollout/fleet_health/tests.rs
+++ b/src/rollout/fleet_health/tests.rs
@@ -7,15 +7,15 @@
 const WINDOW: f64 = 0.5;
 
 /// Plays so many seconds, of whose requests this share is not served; when the rollout would go back.
-fn play(seconds: f64, asked: f64, share: impl Fn(f64) -> f64) -> (Option<f64>, Vec<(f64, Changed)>) {
+fn play(seconds: f64, asked: f64, share: impl Fn(f64) -> f64) -> (Option<f64>, Vec<(f64, HealthChange)>) {
     let mut health = FleetHealth::new(1, MARGIN, PATIENCE);
     let mut changes = Vec::new();
     for window in 1..=(seconds / WINDOW) as u32 {
         let now = f64::from(window) * WINDOW;
         let unserved = (asked * share(now)).round();
-        health.saw(now, vec![vec![ClassCounts { asked, unserved, ..ClassCounts::default() }]]);
-        changes.extend(health.look(now, &[0.25]).map(|changed| (now, changed)));
-        if health.worse_for_too_long(now).is_some() {
+        health.observe(now, vec![vec![ClassCounts { requests: asked, unserved, ..ClassCounts::default() }]]);
+        changes.extend(health.update(now, &[0.25]).map(|changed| (now, changed)));
+        if health.degraded_beyond_patience(now).is_some() {
             return (Some(now), changes);
         }
     }
@@ -29,8 +29,8 @@
         let (back, changes) =
             play(40.0, 12.0, |now| if (3.0..3.0 + ends).contains(&now) { 0.5 } else { 0.0 });
         assert_eq!(back, None, "a trouble of {ends} s");
-        let seen: Vec<Changed> = changes.iter().map(|change| change.1).collect();
-        assert_eq!(seen, [Changed::Worse(0), Changed::Well], "a trouble of {ends} s");
+        let seen: Vec<HealthChange> = changes.iter().map(|change| change.1).collect();
+        assert_eq!(seen, [HealthChange::Degraded(0), HealthChange::Recovered], "a trouble of {ends} s");
     }
 }
 
@@ -54,12 +54,12 @@
 #[test]
 fn time_in_which_nobody_looked_does_not_count() {
     let mut health = FleetHealth::new(1, MARGIN, PATIENCE);
-    let bad = || vec![vec![ClassCounts { asked: 100.0, unserved: 50.0, ..ClassCounts::default() }]];
-    health.saw(1.0, bad());
-    assert_eq!(health.look(1.0, &[0.25]), Some(Changed::Worse(0)));
-    health.skip(20.0);
-    health.saw(21.0, bad());
-    assert_eq!(health.worse_for_too_long(21.0), None);
-    health.saw(29.5, bad());
-    assert_eq!(health.worse_for_too_long(29.5), Some(0));
+    let bad = || vec![vec![ClassCounts { requests: 100.0, unserved: 50.0, ..ClassCounts::default() }]];
+    health.observe(1.0, bad());
+    assert_eq!(health.update(1.0, &[0.25]), Some(HealthChange::Degraded(0)));
+    health.exclude_gap(20.0);
+    health.observe(21.0, bad());
+    assert_eq!(health.degraded_beyond_patience(21.0), None);
+    health.observe(29.5, bad());
+    assert_eq!(health.degraded_beyond_patience(29.5), Some(0));
 }
--- a/src/rollout/gate.rs
+++ b/src/rollout/gate.rs
@@ -40,34 +40,36 @@
 /// What is compared by class.
 pub const COUNTED: [Measure; 3] = [Measure::Unserved, Measure::Retries, Measure::Slow];
 /// So much is taken to be known of clumps before anything was seen.
-const PRIOR: f64 = 20.0;
+const DISPERSION_PRIOR: f64 = 20.0;
 /// Of one front's bad events in one window so many count, and so many times what is usual for old ones: what fails
 /// together has one cause, and counts on both sides as little.
-const COUNTS: (f64, f64) = (2.0, 3.0);
+const MIN_COUNTED_EVENTS: f64 = 2.0;
+const COUNTED_TIMES_USUAL: f64 = 3.0;
 /// Counts of evidence that begin one after the other over a stage, so that harm that comes late is not weighed
 /// against what was fine before it.
-const STARTS: usize = 4;
+const EVIDENCE_STARTS: usize = 4;
 
 /// Evidence on one measure of one class.
 #[derive(Debug, Clone, Copy, Default)]
-struct Line {
-    by_start: [Evidence; STARTS],
+struct MeasureComparison {
+    by_start: [Evidence; EVIDENCE_STARTS],
     /// How unevenly the old ones' events fall on them, beside chance: a sum, and how many were compared.
-    spread: f64,
-    compared: f64,
+    chi_square: f64,
+    degrees_of_freedom: f64,
     /// The old ones' events and requests.
-    usual: (f64, f64),
+    old_events: f64,
+    old_requests: f64,
 }
 
-impl Line {
+impl MeasureComparison {
     /// What counts of a front's events in a window.
     fn counts(&self, measure: Measure, sum: &ClassCounts) -> f64 {
-        let usual = self.usual.0 / self.usual.1.max(1.0);
-        sum.of(measure).min(COUNTS.0 + COUNTS.1 * usual * sum.asked)
+        let usual = self.old_events / self.old_requests.max(1.0);
+        sum.count(measure).min(MIN_COUNTED_EVENTS + COUNTED_TIMES_USUAL * usual * sum.requests)
     }
 
     /// Takes a window of each cohort: fronts of one location and age, new and old.
-    fn saw<'a>(
+    fn observe<'a>(
         &mut self,
         cohorts: impl Iterator<Item = &'a Vec<&'a Window>>,
         measure: Measure,
@@ -75,10 +77,10 @@
         started: usize,
     ) {
         // What was known before this window.
-        let (clumps, known) = (self.clumps(), *self);
+        let (dispersion, known) = (self.dispersion(), *self);
         let count = |window: &Window| {
-            let sum = window.sum(class);
-            (known.counts(measure, &sum), sum.asked)
+            let sum = window.class_counts(class);
+            (known.counts(measure, &sum), sum.requests)
         };
         for fronts in cohorts {
             let total = |new: bool| {
@@ -88,60 +90,69 @@
             let (new, old) = (total(true), total(false));
             let share = new.1 / (new.1 + old.1);
             for evidence in &mut self.by_start[..started] {
-                evidence.saw(new.0, new.0 + old.0, share, clumps);
+                evidence.observe(new.0, new.0 + old.0, share, dispersion);
             }
-            self.saw_old(old, fronts.iter().filter(|w| !w.new).map(|w| count(w)));
+            self.observe_old(old, fronts.iter().filter(|w| !w.new).map(|w| count(w)));
         }
     }
 
     /// How old fronts differ among themselves, for the windows that follow: their sum, and the events and requests of each.
-    fn saw_old(&mut self, sum: (f64, f64), each: impl Iterator<Item = (f64, f64)>) {
-        let rate = sum.0 / sum.1.max(1.0);
-        for (bad, asked) in each {
-            if asked * rate > 0.0 {
-                self.spread += (bad - asked * rate).powi(2) / (asked * rate);
-                self.compared += 1.0 - asked / sum.1;
+    fn observe_old(&mut self, total: (f64, f64), each: impl Iterator<Item = (f64, f64)>) {
+        let rate = total.0 / total.1.max(1.0);
+        for (events, requests) in each {
+            if requests * rate > 0.0 {
+                self.chi_square += (events - requests * rate).powi(2) / (requests * rate);
+                self.degrees_of_freedom += 1.0 - requests / total.1;
             }
         }
-        self.usual = (self.usual.0 + sum.0, self.usual.1 + sum.1);
+        self.old_events += total.0;
+        self.old_requests += total.1;
     }
 
-    fn clumps(&self) -> f64 {
-        ((self.spread + PRIOR) / (self.compared + PRIOR)).max(1.0)
+    fn dispersion(&self) -> f64 {
+        ((self.chi_square + DISPERSION_PRIOR) / (self.degrees_of_freedom + DISPERSION_PRIOR)).max(1.0)
     }
 
-    fn log(&self) -> f64 {
-        log_mean(&self.by_start.map(|e| e.log()))
+    fn log_ratio(&self) -> f64 {
+        log_mean(&self.by_start.map(|e| e.log_ratio()))
     }
 }
 
 /// The gate of a stage.
 #[derive(Debug, Clone)]
 pub struct Gate {
-    terms: Gates,
+    settings: Gates,
     stages: usize,
-    lines: Vec<[Line; COUNTED.len()]>,
+    comparisons: Vec<[MeasureComparison; COUNTED.len()]>,
     /// When the stage began, and how long it is expected to take.
-    began: f64,
-    soak: f64,
+    started_at: f64,
+    soak_s: f64,
     /// Requests of new fronts in the stage that can be judged, by class.
-    asked: Vec<f64>,
+    judged_requests: Vec<f64>,
     usage: UsageComparison,
 }
 
 impl Gate {
     /// For so many classes and stages.
-    pub fn new(terms: Gates, classes: usize, stages: usize) -> Gate {
-        let lines = vec![Default::default(); classes];
-        let usage = UsageComparison::new(&terms);
-        Gate { terms, stages: stages.max(1), lines, began: 0.0, soak: 1.0, asked: vec![0.0; classes], usage }
+    pub fn new(settings: Gates, classes: usize, stages: usize) -> Gate {
+        let comparisons = vec![Default::default(); classes];
+        let usage = UsageComparison::new(&settings);
+        Gate {
+            settings,
+            stages: stages.max(1),
+            comparisons,
+            started_at: 0.0,
+            soak_s: 1.0,
+            judged_requests: vec![0.0; classes],
+            usage,
+        }
     }
 
     /// A stage begins: what earlier ones showed was judged.
-    pub fn stage(&mut self, now: f64, soak: f64) {
-        (self.began, self.soak) = (now, soak.max(1.0));
-        self.asked.fill(0.0);
-        self.lines.iter_mut().flatten().for_each(|l| l.by_start = Default::default());
+    pub fn begin_stage(&mut self, now: f64, soak_s: f64) {
+        (self.started_at, self.soak_s) = (now, soak_s.max(1.0));
+        self.judged_requests.fill(0.0);
+        self.comparisons.iter_mut().flatten().for_each(|l| l.by_start = Default::default());
         self.usage.begin_stage();
     }
 
@@ -151,9 +162,9 @@
     }
 
     /// Nobody looked for so long: that time counts for nothing (seconds).
-    pub fn skip(&mut self, gap: f64) {
-        self.began += gap;
-        self.usage.skip(gap);
+    pub fn exclude_gap(&mut self, gap: f64) {
+        self.started_at += gap;
+        self.usage.exclude_gap(gap);
     }
 
     /// What keeps a stage of these fronts from being judged yet, beside requests that are still to come. No evidence is
@@ -161,61 +172,66 @@
     pub fn undecided(&self, now: f64, fronts: &[usize]) -> Option<Undecided> {
         match self.usage.undecided(now) {
             Some(measure) => Some(Undecided::TooMuch(measure)),
-            None => (!self.usage.compared(fronts)).then_some(Undecided::NotCompared),
+            None => (!self.usage.is_compared(fronts)).then_some(Undecided::NotCompared),
         }
     }
 
     /// Requests that new fronts ended in this stage and that can be judged, by class.
-    pub fn asked(&self) -> &[f64] {
-        &self.asked
+    pub fn judged_requests(&self) -> &[f64] {
+        &self.judged_requests
     }
 
     /// The evidence by class and measure, as logarithms, and what is wanted for a stop.
     pub fn evidence(&self) -> (Vec<[f64; COUNTED.len()]>, f64) {
-        (self.lines.iter().map(|lines| lines.map(|l| l.log())).collect(), self.bound())
+        (
+            self.comparisons.iter().map(|comparisons| comparisons.map(|l| l.log_ratio())).collect(),
+            self.bound(),
+        )
     }
 
     /// The chance of a false stop is shared by all that is looked at.
     fn bound(&self) -> f64 {
-        ((self.lines.len() * COUNTED.len() * self.stages) as f64 / self.terms.false_stop).ln()
+        ((self.comparisons.len() * COUNTED.len() * self.stages) as f64 / self.settings.false_stop).ln()
     }
 
     /// What fronts did over the same window. `old_left` tells by location whether any front there still runs the old side:
     /// where none does, new fronts are judged by the whole fleet alone.
-    pub fn saw(&mut self, now: f64, windows: &[Window], old_left: &[bool]) {
+    pub fn observe(&mut self, now: f64, windows: &[Window], old_left: &[bool]) {
         let mut cohorts: BTreeMap<Cohort, Vec<&Window>> = BTreeMap::new();
         for window in windows {
             cohorts.entry(window.cohort()).or_default().push(window);
         }
-        let started = 1 + (((now - self.began) / self.soak * STARTS as f64) as usize).min(STARTS - 1);
-        for (class, lines) in self.lines.iter_mut().enumerate() {
-            for (line, measure) in lines.iter_mut().zip(COUNTED) {
-                line.saw(cohorts.values(), measure, class, started);
+        let started = 1
+            + (((now - self.started_at) / self.soak_s * EVIDENCE_STARTS as f64) as usize)
+                .min(EVIDENCE_STARTS - 1);
+        for (class, comparisons) in self.comparisons.iter_mut().enumerate() {
+            for (comparison, measure) in comparisons.iter_mut().zip(COUNTED) {
+                comparison.observe(cohorts.values(), measure, class, started);
             }
             for (cohort, fronts) in &cohorts {
                 let alone = !old_left.get(cohort.location).copied().unwrap_or(false);
                 if alone || fronts.iter().any(|w| !w.new) {
-                    let ended = fronts.iter().filter(|w| w.new).map(|w| w.sum(class).asked);
-                    self.asked[class] += ended.sum::<f64>();
+                    let ended = fronts.iter().filter(|w| w.new).map(|w| w.class_counts(class).requests);
+                    self.judged_requests[class] += ended.sum::<f64>();
                 }
             }
         }
-        self.usage.saw(now, windows);
+        self.usage.observe(now, windows);
     }
 
     /// What it says by now.
     pub fn verdict(&self, now: f64) -> Verdict {
         let bound = self.bound();
-        for (class, lines) in self.lines.iter().enumerate() {
-            for (line, measure) in lines.iter().zip(COUNTED) {
-                let by = line.log();
+        for (class, comparisons) in self.comparisons.iter().enumerate() {
+            for (comparison, measure) in comparisons.iter().zip(COUNTED) {
+                let by = comparison.log_ratio();
                 if by > bound {
                     return Verdict::Worse { measure, class: Some(class), by, bound };
                 }
             }
         }
-        if let Some((measure, by)) = self.usage.too_much(now) {
-            return Verdict::Worse { measure, class: None, by, bound: self.terms.uses_times };
+        if let Some((measure, by)) = self.usage.exceeded(now) {
+            return Verdict::Worse { measure, class: None, by, bound: self.settings.uses_times };
         }
         Verdict::Fair
     }
--- a/src/rollout/gate/tests.rs
+++ b/src/rollout/gate/tests.rs
@@ -10,7 +10,7 @@
 fn play(seed: u64, seconds: u32, mut bad: impl FnMut(u32, &Window, usize) -> f64) -> Option<u32> {
     let mut random = fastrand::Rng::with_seed(seed);
     let mut gate = Gate::new(gates(), 2, 6);
-    gate.stage(0.0, 60.0);
+    gate.begin_stage(0.0, 60.0);
     for second in 0..seconds {
         let mut windows = Vec::new();
         for front in 0..24 {
@@ -29,11 +29,12 @@
                 let chance = bad(second, &w, class);
                 let asked = (rate + random.f64()) as u32;
                 let unserved = (0..asked).filter(|_| random.f64() < chance).count() as f64;
-                w.sums[class] = ClassCounts { asked: f64::from(asked), unserved, ..ClassCounts::default() };
+                w.sums[class] =
+                    ClassCounts { requests: f64::from(asked), unserved, ..ClassCounts::default() };
             }
             windows.push(w);
         }
-        gate.saw(f64::from(second), &windows, &[true, true]);
+        gate.observe(f64::from(second), &windows, &[true, true]);
         if gate.verdict(f64::from(second)) != Verdict::Fair {
             return Some(second);
         }
@@ -81,7 +82,7 @@
 #[test]
 fn a_leak_beside_old_fronts_of_the_same_age_stops() {
     let mut gate = Gate::new(gates(), 1, 6);
-    gate.stage(0.0, 60.0);
+    gate.begin_stage(0.0, 60.0);
     let mut stopped = None;
     for second in 0..120 {
         let now = f64::from(second);
@@ -96,7 +97,7 @@
             uses: [kb, 40.0, 0.1],
         };
         let leak = 10_000.0 + now.max(20.0) * 500.0 - 10_000.0;
-        gate.saw(now, &[one(0, 12_000.0 + leak), one(1, 12_000.0), one(2, 14_000.0)], &[true]);
+        gate.observe(now, &[one(0, 12_000.0 + leak), one(1, 12_000.0), one(2, 14_000.0)], &[true]);
         if let Verdict::Worse { measure, .. } = gate.verdict(now) {
             assert_eq!(measure, Measure::Memory);
             stopped.get_or_insert(second);
@@ -109,7 +110,7 @@
 #[test]
 fn what_has_no_old_front_beside_it_does_not_count_as_judged() {
     let mut gate = Gate::new(gates(), 1, 6);
-    gate.stage(0.0, 60.0);
+    gate.begin_stage(0.0, 60.0);
     let one = |front: usize, new: bool, young: bool| Window {
         front,
         run: 1,
@@ -117,15 +118,15 @@
         location: 0,
         new,
         young,
-        sums: vec![ClassCounts { asked: 8.0, ..ClassCounts::default() }],
+        sums: vec![ClassCounts { requests: 8.0, ..ClassCounts::default() }],
         uses: [1.0; 3],
     };
-    gate.saw(1.0, &[one(0, true, true), one(1, false, false)], &[true]);
-    assert_eq!(gate.asked(), [0.0], "the old front there is no young one");
-    gate.saw(2.0, &[one(0, true, true), one(1, false, true)], &[true]);
-    assert_eq!(gate.asked(), [8.0]);
-    gate.saw(3.0, &[one(0, true, true)], &[true]);
-    assert_eq!(gate.asked(), [8.0], "the old front is in change");
-    gate.saw(4.0, &[one(0, true, true), one(1, true, true)], &[false]);
-    assert_eq!(gate.asked(), [24.0], "none is left: they are judged by the whole fleet");
+    gate.observe(1.0, &[one(0, true, true), one(1, false, false)], &[true]);
+    assert_eq!(gate.judged_requests(), [0.0], "the old front there is no young one");
+    gate.observe(2.0, &[one(0, true, true), one(1, false, true)], &[true]);
+    assert_eq!(gate.judged_requests(), [8.0]);
+    gate.observe(3.0, &[one(0, true, true)], &[true]);
+    assert_eq!(gate.judged_requests(), [8.0], "the old front is in change");
+    gate.observe(4.0, &[one(0, true, true), one(1, true, true)], &[false]);
+    assert_eq!(gate.judged_requests(), [24.0], "none is left: they are judged by the whole fleet");
 }
--- a/src/rollout/mod.rs
+++ b/src/rollout/mod.rs
@@ -14,9 +14,11 @@
 mod usage;
 mod window;
 
-pub use change::{Change, Event, Health, Phase, ProcessCommand, ProcessEvent, Release, Run, Times};
+pub use change::{
+    Change, ChangePhase, ChangeTimeouts, Event, Health, ProcessCommand, ProcessEvent, Release, Run,
+};
 pub use controller::{Report, RolloutController};
-pub use evidence::{Evidence, tail};
+pub use evidence::{Evidence, binomial_tail};
 pub use gate::{COUNTED, Gate, Undecided, Verdict};
 pub use plan::{Built, Front, Gates, GroupBy, Limits, MixingRule, Plan, Timeouts, mixing};
 pub use readings::{Counts, Delta, Reading, Series};
--- a/src/rollout/plan.rs
+++ b/src/rollout/plan.rs
@@ -1,6 +1,6 @@
 //! The plan of a rollout: what changes, on which fronts, in which stages, and what stops it; checked as a whole.
 
-use super::change::Times;
+use super::change::ChangeTimeouts;
 #[cfg(feature = "rollout")]
 use schemars::JsonSchema;
 #[cfg(feature = "rollout")]
@@ -163,8 +163,8 @@
 
 impl Timeouts {
     /// Those of one front's change.
-    pub fn times(&self) -> Times {
-        Times { start: self.start_s, steady: self.steady_s, end: self.end_s, again: 1.0 }
+    pub fn change_timeouts(&self) -> ChangeTimeouts {
+        ChangeTimeouts { start_s: self.start_s, steady_s: self.steady_s, end_s: self.end_s, retry_s: 1.0 }
     }
 }
 
--- a/src/rollout/readings.rs
+++ b/src/rollout/readings.rs
@@ -60,7 +60,7 @@
 
 impl Delta {
     /// This span and the one that follows it as one. Where they tell of other classes, the later one counts.
-    pub fn and(mut self, more: Delta) -> Delta {
+    pub fn merge(mut self, more: Delta) -> Delta {
         if self.classes.len() != more.classes.len() {
             return more;
         }
@@ -83,16 +83,16 @@
 pub struct Series {
     last: Option<(f64, Reading)>,
     /// When a process was first read.
-    since: f64,
+    run_since: f64,
 }
 
 impl Series {
     /// Takes a reading and gives what came since the last. Counts of a process that is new start at 0. None where a
     /// span was not seen: the first reading, one that comes more than `stale` after the last, counts that went back.
-    pub fn take(&mut self, now: f64, reading: Reading, stale: f64) -> Option<Delta> {
+    pub fn push(&mut self, now: f64, reading: Reading, stale: f64) -> Option<Delta> {
         let before = self.last.replace((now, reading.clone()));
         if before.as_ref().is_none_or(|(_, b)| b.run != reading.run) {
-            self.since = now;
+            self.run_since = now;
         }
         let (at, before) = before?;
         let span = now - at;
@@ -109,17 +109,17 @@
     }
 
     /// The last reading, if it is not older than `stale`.
-    pub fn last(&self, now: f64, stale: f64) -> Option<&Reading> {
+    pub fn latest(&self, now: f64, stale: f64) -> Option<&Reading> {
         self.last.as_ref().filter(|(at, _)| now - at <= stale).map(|(_, reading)| reading)
     }
 
     /// For how long the present process has been read (seconds).
     pub fn age(&self, now: f64) -> f64 {
-        now - self.since
+        now - self.run_since
     }
 
     /// The next reading follows on nothing: a span was not seen.
-    pub fn forget(&mut self) {
+    pub fn reset(&mut self) {
         self.last = None;
     }
 }
@@ -136,13 +136,13 @@
     fn counts_go_on_over_a_replacement_and_a_gap_is_no_evidence() {
         let mut series = Series::default();
         let served = |d: Option<Delta>| d.map(|d| d.classes[0].served);
-        assert_eq!(served(series.take(10.0, reading(1, 500), 3.0)), None, "the first");
-        assert_eq!(served(series.take(11.0, reading(1, 520), 3.0)), Some(20));
-        assert_eq!(served(series.take(12.0, reading(2, 7), 3.0)), Some(7), "a new process starts at 0");
+        assert_eq!(served(series.push(10.0, reading(1, 500), 3.0)), None, "the first");
+        assert_eq!(served(series.push(11.0, reading(1, 520), 3.0)), Some(20));
+        assert_eq!(served(series.push(12.0, reading(2, 7), 3.0)), Some(7), "a new process starts at 0");
         assert_eq!(series.age(13.0), 1.0);
-        assert_eq!(served(series.take(20.0, reading(2, 90), 3.0)), None, "stale");
-        assert_eq!(served(series.take(21.0, reading(2, 80), 3.0)), None, "counts do not go back");
-        assert_eq!(served(series.take(22.0, reading(2, 85), 3.0)), Some(5));
-        assert!(series.last(24.0, 3.0).is_some() && series.last(26.0, 3.0).is_none());
+        assert_eq!(served(series.push(20.0, reading(2, 90), 3.0)), None, "stale");
+        assert_eq!(served(series.push(21.0, reading(2, 80), 3.0)), None, "counts do not go back");
+        assert_eq!(served(series.push(22.0, reading(2, 85), 3.0)), Some(5));
+        assert!(series.latest(24.0, 3.0).is_some() && series.latest(26.0, 3.0).is_none());
     }
 }
--- a/src/rollout/stages.rs
+++ b/src/rollout/stages.rs
@@ -34,7 +34,7 @@
             here.sort_by(|&a, &b| {
                 placements[a].rate.total_cmp(&placements[b].rate).then(draw(a).cmp(&draw(b)))
             });
-            spread(&here, draw(placements.len() + l) as usize)
+            bit_reversed_order(&here, draw(placements.len() + l) as usize)
         })
         .filter(|q| !q.is_empty())
         .collect();
@@ -48,8 +48,8 @@
         // Longer queues give more often, so that every prefix takes the same share of each.
         for step in 0..longest {
             for q in &queues {
-                let upto = |step: usize| (step * q.len()).div_ceil(longest);
-                order.extend(&q[upto(step)..upto(step + 1)]);
+                let quota = |step: usize| (step * q.len()).div_ceil(longest);
+                order.extend(&q[quota(step)..quota(step + 1)]);
             }
         }
     }
@@ -70,19 +70,21 @@
         ends = ends.iter().filter_map(|e| bounds.iter().copied().find(|b| b >= e)).collect();
     }
     ends.dedup();
-    let most = ((control * placements.len() as f64) as usize).max(1);
+    let max_controls = ((control * placements.len() as f64) as usize).max(1);
     let mut made: Vec<Stage> = Vec::new();
     let mut from = 0;
     for &end in &ends {
         let fronts = order[from..end].to_vec();
         // Those that come last in any case, of the same location and the nearest load.
-        let mut left: Vec<usize> = order[end..].to_vec();
+        let mut candidates: Vec<usize> = order[end..].to_vec();
         let mut control = Vec::new();
-        for &f in fronts.iter().take(most) {
-            let near = |&&i: &&usize| (placements[i].rate - placements[f].rate).abs();
-            let here = left.iter().filter(|&&i| placements[i].location == placements[f].location);
-            let Some(&next) = here.min_by(|a, b| near(a).total_cmp(&near(b))) else { continue };
-            left.retain(|&i| i != next);
+        for &f in fronts.iter().take(max_controls) {
+            let load_difference = |&&i: &&usize| (placements[i].rate - placements[f].rate).abs();
+            let here = candidates.iter().filter(|&&i| placements[i].location == placements[f].location);
+            let Some(&next) = here.min_by(|a, b| load_difference(a).total_cmp(&load_difference(b))) else {
+                continue;
+            };
+            candidates.retain(|&i| i != next);
             control.push(next);
         }
         made.push(Stage { fronts, control });
@@ -92,7 +94,7 @@
 }
 
 /// The order in which halves, quarters and so on of a sorted list are visited, from a drawn place on.
-fn spread(sorted: &[usize], drawn: usize) -> Vec<usize> {
+fn bit_reversed_order(sorted: &[usize], drawn: usize) -> Vec<usize> {
     let bits = sorted.len().next_power_of_two().trailing_zeros();
     let reversed = |i: usize| if bits == 0 { 0 } else { i.reverse_bits() >> (usize::BITS - bits) };
     let at = |i: usize| (reversed(i) + drawn) % sorted.len().next_power_of_two();
--- a/src/rollout/usage.rs
+++ b/src/rollout/usage.rs
@@ -10,19 +10,19 @@
 use std::collections::BTreeMap;
 
 /// Resources that are compared.
-const RESOURCES: usize = 3;
+const RESOURCE_COUNT: usize = 3;
 
 /// A resource, and the least difference that counts as one whatever it is a multiple of.
 struct Resource {
     measure: Measure,
-    least_difference: f64,
+    min_difference: f64,
 }
 
 /// In the order of `Window::uses`: kilobytes, descriptors, share of a core.
-const COMPARED: [Resource; RESOURCES] = [
-    Resource { measure: Measure::Memory, least_difference: 8_192.0 },
-    Resource { measure: Measure::Descriptors, least_difference: 32.0 },
-    Resource { measure: Measure::Processor, least_difference: 0.05 },
+const COMPARED_RESOURCES: [Resource; RESOURCE_COUNT] = [
+    Resource { measure: Measure::Memory, min_difference: 8_192.0 },
+    Resource { measure: Measure::Descriptors, min_difference: 32.0 },
+    Resource { measure: Measure::Processor, min_difference: 0.05 },
 ];
 
 /// The most that old fronts used, and the load under which they did.
@@ -30,7 +30,7 @@
 #[cfg_attr(feature = "rollout", derive(serde::Serialize, serde::Deserialize))]
 pub struct UsageBaseline {
     /// In the order of `Window::uses`.
-    pub uses: [f64; RESOURCES],
+    pub uses: [f64; RESOURCE_COUNT],
     /// Requests a second of a front, in the mean over a location.
     pub load: f64,
 }
@@ -44,7 +44,7 @@
     }
 
     /// What the same fronts may be expected to use under another load: more under more, and no less under less.
-    fn at(&self, load: f64) -> [f64; RESOURCES] {
+    fn scaled_to(&self, load: f64) -> [f64; RESOURCE_COUNT] {
         let growth = if self.load > 0.0 { (load / self.load).max(1.0) } else { 1.0 };
         self.uses.map(|used| used * growth)
     }
@@ -55,42 +55,42 @@
 struct Excess {
     since: f64,
     /// How many times as much as old fronts, as last compared.
-    times: f64,
+    ratio: f64,
 }
 
 /// What is known of a new front's process.
 #[derive(Debug, Clone)]
-struct Compared {
+struct FrontUsage {
     run: Run,
     location: usize,
     /// When it was first compared.
     since: f64,
     /// It was compared in the present stage.
     in_stage: bool,
-    excess: [Option<Excess>; RESOURCES],
+    excess: [Option<Excess>; RESOURCE_COUNT],
 }
 
 /// The comparison over a whole rollout.
 #[derive(Debug, Clone)]
 pub struct UsageComparison {
     /// New fronts may use so many times as much as old ones, and more for so long (seconds).
-    most_times: f64,
-    longest: f64,
-    earlier: BTreeMap<Cohort, UsageBaseline>,
-    fronts: BTreeMap<usize, Compared>,
+    max_ratio: f64,
+    grace_s: f64,
+    earlier_baselines: BTreeMap<Cohort, UsageBaseline>,
+    fronts: BTreeMap<usize, FrontUsage>,
 }
 
 impl UsageComparison {
     /// With the bounds of a plan.
     pub fn new(gates: &Gates) -> UsageComparison {
-        let (earlier, fronts) = (BTreeMap::new(), BTreeMap::new());
-        UsageComparison { most_times: gates.uses_times, longest: gates.uses_s, earlier, fronts }
+        let (earlier_baselines, fronts) = (BTreeMap::new(), BTreeMap::new());
+        UsageComparison { max_ratio: gates.uses_times, grace_s: gates.uses_s, earlier_baselines, fronts }
     }
 
     /// The most that old fronts of any age used, by location: what a later start goes on from.
     pub fn baselines(&self, locations: usize) -> Vec<UsageBaseline> {
         let mut found = vec![UsageBaseline::default(); locations];
-        for (cohort, baseline) in &self.earlier {
+        for (cohort, baseline) in &self.earlier_baselines {
             found[cohort.location].include(baseline);
         }
         found
@@ -100,7 +100,7 @@
     pub fn restore(&mut self, baselines: &[UsageBaseline]) {
         for (location, baseline) in baselines.iter().enumerate() {
             if *baseline != UsageBaseline::default() {
-                self.earlier.insert(Cohort { location, young: false }, *baseline);
+                self.earlier_baselines.insert(Cohort { location, young: false }, *baseline);
             }
         }
     }
@@ -111,7 +111,7 @@
     }
 
     /// Nobody looked for so long: that time counts for nothing.
-    pub fn skip(&mut self, gap: f64) {
+    pub fn exclude_gap(&mut self, gap: f64) {
         for front in self.fronts.values_mut() {
             front.since += gap;
             front.excess.iter_mut().flatten().for_each(|excess| excess.since += gap);
@@ -119,82 +119,82 @@
     }
 
     /// What all fronts used over the same window.
-    pub fn saw(&mut self, now: f64, windows: &[Window]) {
-        let loads = loads(windows);
-        let beside = old_fronts(windows, &loads);
+    pub fn observe(&mut self, now: f64, windows: &[Window]) {
+        let mean_loads = mean_loads(windows);
+        let beside = usage_of_old_fronts(windows, &mean_loads);
         for window in windows {
             if !window.new {
                 self.fronts.remove(&window.front);
                 continue;
             }
             let cohort = window.cohort();
-            let load = loads[&window.location];
-            let earlier = || self.earlier.get(&cohort).map(|baseline| baseline.at(load));
+            let load = mean_loads[&window.location];
+            let earlier = || self.earlier_baselines.get(&cohort).map(|baseline| baseline.scaled_to(load));
             if let Some(usual) = beside.get(&cohort).map(|b| b.uses).or_else(earlier) {
                 self.compare(now, window, &usual);
             }
         }
         for (cohort, baseline) in &beside {
-            self.earlier.entry(*cohort).or_default().include(baseline);
+            self.earlier_baselines.entry(*cohort).or_default().include(baseline);
         }
     }
 
-    fn compare(&mut self, now: f64, window: &Window, usual: &[f64; RESOURCES]) {
-        let fresh = || Compared {
+    fn compare(&mut self, now: f64, window: &Window, usual: &[f64; RESOURCE_COUNT]) {
+        let new_entry = || FrontUsage {
             run: window.run,
             location: window.location,
             since: now,
             in_stage: false,
-            excess: [None; RESOURCES],
+            excess: [None; RESOURCE_COUNT],
         };
-        let front = self.fronts.entry(window.front).or_insert_with(fresh);
+        let front = self.fronts.entry(window.front).or_insert_with(new_entry);
         if front.run != window.run {
-            *front = fresh();
+            *front = new_entry();
         }
         front.in_stage = true;
-        for (i, resource) in COMPARED.iter().enumerate() {
+        for (i, resource) in COMPARED_RESOURCES.iter().enumerate() {
             let (used, usual) = (window.uses[i], usual[i]);
-            let differs = usual > 0.0 && used - usual > resource.least_difference;
+            let differs = usual > 0.0 && used - usual > resource.min_difference;
             let since = front.excess[i].map_or(now, |excess| excess.since);
-            let times = used / usual;
-            front.excess[i] = (differs && times > self.most_times).then_some(Excess { since, times });
+            let ratio = used / usual;
+            front.excess[i] = (differs && ratio > self.max_ratio).then_some(Excess { since, ratio });
         }
     }
 
     /// The first resource of which half of a location's new fronts have used too much for too long, and how many times
     /// as much as old fronts the middle one of these uses.
-    pub fn too_much(&self, now: f64) -> Option<(Measure, f64)> {
+    pub fn exceeded(&self, now: f64) -> Option<(Measure, f64)> {
         self.groups(now).find_map(|group| {
-            let too_long = |excess: &&Excess| now - excess.since >= self.longest;
-            let mut times: Vec<f64> = group.excesses().filter(too_long).map(|excess| excess.times).collect();
-            times.sort_by(f64::total_cmp);
-            let stop = group.seen_for_long && group.is_half(times.len());
-            stop.then(|| (COMPARED[group.resource].measure, times[times.len() / 2]))
+            let too_long = |excess: &&Excess| now - excess.since >= self.grace_s;
+            let mut ratios: Vec<f64> = group.excesses().filter(too_long).map(|excess| excess.ratio).collect();
+            ratios.sort_by(f64::total_cmp);
+            let stop = group.seen_for_long && group.is_at_least_half(ratios.len());
+            stop.then(|| (COMPARED_RESOURCES[group.resource].measure, ratios[ratios.len() / 2]))
         })
     }
 
     /// The first resource of which half of a location's new fronts use too much now, though not yet for long.
     pub fn undecided(&self, now: f64) -> Option<Measure> {
         let mut groups = self.groups(now);
-        let over = groups.find(|group| group.is_half(group.excesses().count()));
-        over.map(|group| COMPARED[group.resource].measure)
+        let over = groups.find(|group| group.is_at_least_half(group.excesses().count()));
+        over.map(|group| COMPARED_RESOURCES[group.resource].measure)
     }
 
     /// Were at least half of these fronts compared in this stage?
-    pub fn compared(&self, fronts: &[usize]) -> bool {
+    pub fn is_compared(&self, fronts: &[usize]) -> bool {
         let compared = |front: &&usize| self.fronts.get(front).is_some_and(|f| f.in_stage);
         fronts.iter().filter(compared).count() * 2 >= fronts.len()
     }
 
     /// The new fronts of each location, those that have been compared for long apart from the others, by resource.
     fn groups(&self, now: f64) -> impl Iterator<Item = Group<'_>> {
-        let mut members: BTreeMap<(usize, bool), Vec<&Compared>> = BTreeMap::new();
+        let mut members: BTreeMap<(usize, bool), Vec<&FrontUsage>> = BTreeMap::new();
         for front in self.fronts.values() {
-            let seen_for_long = now - front.since >= self.longest;
+            let seen_for_long = now - front.since >= self.grace_s;
             members.entry((front.location, seen_for_long)).or_default().push(front);
         }
         members.into_iter().flat_map(|((_, seen_for_long), fronts)| {
-            (0..RESOURCES).map(move |resource| Group { seen_for_long, resource, fronts: fronts.clone() })
+            (0..RESOURCE_COUNT).map(move |resource| Group { seen_for_long, resource, fronts: fronts.clone() })
         })
     }
 }
@@ -203,7 +203,7 @@
 struct Group<'a> {
     seen_for_long: bool,
     resource: usize,
-    fronts: Vec<&'a Compared>,
+    fronts: Vec<&'a FrontUsage>,
 }
 
 impl Group<'_> {
@@ -211,17 +211,17 @@
         self.fronts.iter().filter_map(|front| front.excess[self.resource].as_ref())
     }
 
-    fn is_half(&self, some: usize) -> bool {
-        some > 0 && some * 2 >= self.fronts.len()
+    fn is_at_least_half(&self, count: usize) -> bool {
+        count > 0 && count * 2 >= self.fronts.len()
     }
 }
 
 /// Requests a second of a front, in the mean, by location.
-fn loads(windows: &[Window]) -> BTreeMap<usize, f64> {
+fn mean_loads(windows: &[Window]) -> BTreeMap<usize, f64> {
     let mut sums: BTreeMap<usize, (f64, f64)> = BTreeMap::new();
     for window in windows {
         let (asked, span) = sums.entry(window.location).or_default();
-        *asked += window.sums.iter().map(|sum| sum.asked).sum::<f64>();
+        *asked += window.sums.iter().map(|sum| sum.requests).sum::<f64>();
         *span += window.span;
     }
     sums.into_iter()
@@ -230,10 +230,13 @@
 }
 
 /// The most that old fronts use in this window.
-fn old_fronts(windows: &[Window], loads: &BTreeMap<usize, f64>) -> BTreeMap<Cohort, UsageBaseline> {
+fn usage_of_old_fronts(
+    windows: &[Window],
+    mean_loads: &BTreeMap<usize, f64>,
+) -> BTreeMap<Cohort, UsageBaseline> {
     let mut found: BTreeMap<Cohort, UsageBaseline> = BTreeMap::new();
     for window in windows.iter().filter(|w| !w.new) {
-        let used = UsageBaseline { uses: window.uses, load: loads[&window.location] };
+        let used = UsageBaseline { uses: window.uses, load: mean_loads[&window.location] };
         found.entry(window.cohort()).or_default().include(&used);
     }
     found
--- a/src/rollout/usage/tests.rs
+++ b/src/rollout/usage/tests.rs
@@ -6,7 +6,7 @@
 
 /// A front of one location, at eight requests a second.
 fn window(front: usize, new: bool, young: bool, memory_kb: f64) -> Window {
-    let sums = vec![super::super::window::ClassCounts { asked: 8.0, ..Default::default() }];
+    let sums = vec![super::super::window::ClassCounts { requests: 8.0, ..Default::default() }];
     Window { front, run: 1, span: 1.0, location: 0, new, young, sums, uses: [memory_kb, 40.0, 0.1] }
 }
 
@@ -24,21 +24,21 @@
         let old = window(1, false, true, 12.0 * KB);
         // Every third second there is no old front of its age, or no reading of its own.
         match second % 3 {
-            0 => usage.saw(now, &[window(0, true, true, 40.0 * KB), old]),
-            1 => usage.saw(now, &[window(0, true, false, 40.0 * KB), window(1, false, true, 12.0 * KB)]),
-            _ => usage.saw(now, &[old]),
+            0 => usage.observe(now, &[window(0, true, true, 40.0 * KB), old]),
+            1 => usage.observe(now, &[window(0, true, false, 40.0 * KB), window(1, false, true, 12.0 * KB)]),
+            _ => usage.observe(now, &[old]),
         }
         assert_eq!(usage.undecided(now), Some(Measure::Memory), "second {second}");
-        assert_eq!(usage.too_much(now), None, "second {second}");
+        assert_eq!(usage.exceeded(now), None, "second {second}");
     }
-    assert!(matches!(usage.too_much(10.0), Some((Measure::Memory, times)) if times > 3.0));
+    assert!(matches!(usage.exceeded(10.0), Some((Measure::Memory, times)) if times > 3.0));
 }
 
 #[test]
 fn without_old_fronts_new_ones_are_compared_with_those_before() {
     let mut usage = comparison();
     for second in 0..5 {
-        usage.saw(
+        usage.observe(
             f64::from(second),
             &[window(0, false, false, 12.0 * KB), window(1, false, false, 13.0 * KB)],
         );
@@ -46,37 +46,37 @@
     for second in 5..30 {
         let leak = f64::from(second - 5) * 2.0 * KB;
         let fronts = [window(0, true, false, 12.0 * KB + leak), window(1, true, false, 12.0 * KB + leak)];
-        usage.saw(f64::from(second), &fronts);
+        usage.observe(f64::from(second), &fronts);
     }
-    assert!(matches!(usage.too_much(29.0), Some((Measure::Memory, _))));
+    assert!(matches!(usage.exceeded(29.0), Some((Measure::Memory, _))));
 }
 
 /// Half as many requests again take half as much again of everything, and are no harm.
 #[test]
 fn fronts_before_are_taken_at_the_load_of_now() {
     let mut usage = comparison();
-    usage.saw(0.0, &[window(0, false, false, 40.0 * KB)]);
+    usage.observe(0.0, &[window(0, false, false, 40.0 * KB)]);
     for second in 1..30 {
         let mut busy = window(0, true, false, 76.0 * KB);
-        busy.sums[0].asked *= 1.5;
-        usage.saw(f64::from(second), &[busy]);
+        busy.sums[0].requests *= 1.5;
+        usage.observe(f64::from(second), &[busy]);
     }
-    assert_eq!((usage.too_much(29.0), usage.undecided(29.0)), (None, None));
-    assert!(usage.compared(&[0]));
+    assert_eq!((usage.exceeded(29.0), usage.undecided(29.0)), (None, None));
+    assert!(usage.is_compared(&[0]));
 }
 
 #[test]
 fn what_was_never_compared_is_not_taken_for_good() {
     let mut usage = comparison();
-    usage.saw(0.0, &[window(0, false, false, 12.0 * KB), window(1, false, false, 12.0 * KB)]);
+    usage.observe(0.0, &[window(0, false, false, 12.0 * KB), window(1, false, false, 12.0 * KB)]);
     usage.begin_stage();
     // It is young, and no old front ever was.
-    usage.saw(1.0, &[window(0, true, true, 12.0 * KB), window(1, false, false, 12.0 * KB)]);
-    assert!(!usage.compared(&[0]));
-    usage.saw(2.0, &[window(0, true, false, 12.0 * KB), window(1, false, false, 12.0 * KB)]);
-    assert!(usage.compared(&[0]));
+    usage.observe(1.0, &[window(0, true, true, 12.0 * KB), window(1, false, false, 12.0 * KB)]);
+    assert!(!usage.is_compared(&[0]));
+    usage.observe(2.0, &[window(0, true, false, 12.0 * KB), window(1, false, false, 12.0 * KB)]);
+    assert!(usage.is_compared(&[0]));
     usage.begin_stage();
-    assert!(!usage.compared(&[0]), "a stage is judged by what was seen in it");
+    assert!(!usage.is_compared(&[0]), "a stage is judged by what was seen in it");
 }
 
 #[test]
@@ -86,33 +86,33 @@
         let new = |front, kb| window(front, true, false, kb);
         let fronts =
             [new(0, 90.0 * KB), new(1, 12.0 * KB), new(2, 12.0 * KB), window(3, false, false, 12.0 * KB)];
-        usage.saw(f64::from(second), &fronts);
+        usage.observe(f64::from(second), &fronts);
     }
-    assert_eq!((usage.too_much(29.0), usage.undecided(29.0)), (None, None));
+    assert_eq!((usage.exceeded(29.0), usage.undecided(29.0)), (None, None));
 }
 
 #[test]
 fn time_in_which_nobody_looked_and_another_process_begin_anew() {
     let mut usage = comparison();
     let old = || window(1, false, false, 12.0 * KB);
-    usage.saw(0.0, &[window(0, true, false, 40.0 * KB), old()]);
-    usage.skip(20.0);
-    assert_eq!(usage.too_much(20.5), None);
+    usage.observe(0.0, &[window(0, true, false, 40.0 * KB), old()]);
+    usage.exclude_gap(20.0);
+    assert_eq!(usage.exceeded(20.5), None);
     let replaced = Window { run: 2, ..window(0, true, false, 40.0 * KB) };
-    usage.saw(21.0, &[replaced, old()]);
-    assert_eq!(usage.too_much(30.5), None, "counted from the replacement on");
-    usage.saw(31.0, &[window(0, false, false, 12.0 * KB), old()]);
-    assert_eq!((usage.too_much(60.0), usage.undecided(60.0)), (None, None), "it went back");
+    usage.observe(21.0, &[replaced, old()]);
+    assert_eq!(usage.exceeded(30.5), None, "counted from the replacement on");
+    usage.observe(31.0, &[window(0, false, false, 12.0 * KB), old()]);
+    assert_eq!((usage.exceeded(60.0), usage.undecided(60.0)), (None, None), "it went back");
 }
 
 #[test]
 fn a_later_start_goes_on_from_the_baseline() {
     let mut first = comparison();
-    first.saw(0.0, &[window(0, false, false, 12.0 * KB)]);
+    first.observe(0.0, &[window(0, false, false, 12.0 * KB)]);
     let mut second = comparison();
     second.restore(&first.baselines(1));
     for now in 0..12 {
-        second.saw(f64::from(now), &[window(0, true, false, 40.0 * KB)]);
+        second.observe(f64::from(now), &[window(0, true, false, 40.0 * KB)]);
     }
-    assert!(matches!(second.too_much(11.0), Some((Measure::Memory, _))));
+    assert!(matches!(second.exceeded(11.0), Some((Measure::Memory, _))));
 }
--- a/src/rollout/window.rs
+++ b/src/rollout/window.rs
@@ -25,7 +25,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct ClassCounts {
     /// Requests that ended.
-    pub asked: f64,
+    pub requests: f64,
     /// Of these refused or failed.
     pub unserved: f64,
     /// Attempts beyond one a request.
@@ -35,7 +35,7 @@
 }
 
 impl ClassCounts {
-    pub(super) fn of(&self, measure: Measure) -> f64 {
+    pub(super) fn count(&self, measure: Measure) -> f64 {
         match measure {
             Measure::Retries => self.retries,
             Measure::Slow => self.slow,
@@ -79,7 +79,7 @@
     }
 
     /// Counts of a class; a front that tells of fewer classes had none.
-    pub(super) fn sum(&self, class: usize) -> ClassCounts {
+    pub(super) fn class_counts(&self, class: usize) -> ClassCounts {
         self.sums.get(class).copied().unwrap_or_default()
     }
 }
