--- a/src/rollout/change.rs
+++ b/src/rollout/change.rs
@@ -1,176 +1,178 @@
-//! One front's change: a second process beside the first, asked until it says yes and runs what it should, then the
-//! first told to end; every way in which that can fail, and the way back. The front is at no time without a process
-//! that serves, unless one ended by itself; then another is started at once.
+//! State machine of the change of one front: start a second process, poll it until it is healthy and runs the
+//! wanted release, then stop the first; with the handling of failures and rollback. The front always has a
+//! serving process unless one exits by itself; then another is started at once.
 
-/// What a front runs.
+/// Which of the plan's two builds and settings a front runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 #[cfg_attr(feature = "rollout", derive(serde::Serialize, serde::Deserialize))]
 pub enum Release {
-    /// What ran before.
+    /// What ran before the rollout.
     Old,
     /// What is rolled out.
     New,
 }
 
-/// A process of a front, by number.
+/// Number of a process of a front; later processes have higher numbers.
 pub type Run = u32;
 
-/// How a process answers operators.
+/// Health of a process, as its operator endpoint reports it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Health {
-    /// It takes clients, and says that it runs this.
+    /// It accepts clients and reports that it runs this release.
     Yes(Release),
-    /// It takes clients, and runs something else.
+    /// It accepts clients but runs neither release.
     Other,
-    /// It takes none now.
+    /// It accepts no clients at present.
     No,
     /// It does not answer in time.
     Silent,
 }
 
-/// What happened to a process.
+/// An observation of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// It answered, or did not.
+    /// A health check was answered or timed out.
     Said(Run, Health),
-    /// It could not be started.
+    /// The process could not be started.
     NotStarted(Run),
-    /// It ended.
+    /// The process exited.
     Ended(Run),
 }
 
-/// What is to be done with a process.
+/// A command to start, signal or reload a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 #[cfg_attr(feature = "rollout", derive(serde::Serialize, serde::Deserialize))]
 pub enum ProcessCommand {
-    /// Start it, to run this.
+    /// Start a process of this release.
     Start(Run, Release),
-    /// SIGTERM.
+    /// Send SIGTERM.
     Term(Run),
-    /// SIGKILL.
+    /// Send SIGKILL.
     Kill(Run),
-    /// Write the settings of this side and SIGHUP.
+    /// Write the settings of this release and send SIGHUP.
     Reload(Run, Release),
 }
 
-/// What came of it.
+/// Outcome of a step of a front's change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 #[cfg_attr(feature = "rollout", derive(serde::Serialize, serde::Deserialize))]
 pub enum ProcessEvent {
-    /// The front now runs this.
+    /// The front now runs this release.
     Changed(Release),
-    /// The process that was to run this did not start, gave no yes within its time, ended, or ran something else. The one
-    /// before serves on.
+    /// The process of this release did not start, was not healthy in time, exited, or ran something else. The
+    /// previous process continues to serve.
     GaveUp(Release),
-    /// A process that served ended by itself.
+    /// The serving process exited by itself.
     Crashed(Release),
-    /// A process did not end when told to, and was killed.
+    /// A process did not exit after SIGTERM and was killed.
     Killed,
-    /// No process serves, and several tries to start one failed.
+    /// No process serves, and several tries to start one have failed.
     Lost,
 }
 
-/// Spans (seconds).
+/// Timeouts of the change of one front (seconds).
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ChangeTimeouts {
-    /// A process says yes within so long of its start.
+    /// Time from the start of a process within which it must be healthy.
     pub start_s: f64,
-    /// It says yes for so long before the one before it is told to end.
+    /// Time for which a new process must stay healthy before the previous one is stopped.
     pub steady_s: f64,
-    /// It ends within so long of SIGTERM, else it is killed.
+    /// Time from SIGTERM after which a process that still runs is killed.
     pub end_s: f64,
-    /// A try to start a process where none serves is followed by another after so long.
+    /// Delay before a failed start is retried where no process serves; it doubles with each failure, up to 16
+    /// times.
     pub retry_s: f64,
 }
 
-/// Tries to start a process where none serves, after which the front counts as lost; they go on.
+/// Failed starts after which a front without a serving process is reported as lost; starts are still retried.
 const TRIES_UNTIL_LOST: u32 = 4;
 
-/// Where a change stands.
+/// State of a change.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum ChangePhase {
-    /// Nothing is under way.
+    /// No change is in progress.
     Settled,
-    /// A further process is on its way, and has said yes since.
+    /// A new process has been started and is not serving yet.
     Starting {
-        /// Which.
+        /// The new process.
         next: Run,
-        /// What it is to run.
+        /// The release that it must run.
         target: Release,
-        /// Since when.
+        /// When it was started.
         since: f64,
-        /// Since when it says yes.
+        /// Since when it has been healthy without interruption.
         ready_since: Option<f64>,
     },
-    /// It serves; the one before it was told to end.
+    /// The new process serves; the previous one was sent SIGTERM.
     StoppingPrevious {
-        /// Which.
+        /// The previous process.
         previous: Run,
-        /// Since when.
+        /// When it was last sent a signal.
         since: f64,
-        /// It was killed.
+        /// Whether it was sent SIGKILL.
         killed: bool,
     },
-    /// The further process is no good and was told to end.
+    /// The new process was rejected and sent SIGTERM; the previous one serves.
     Withdrawing {
-        /// Which.
+        /// The rejected process.
         next: Run,
-        /// Since when.
+        /// When it was last sent a signal.
         since: f64,
-        /// It was killed.
+        /// Whether it was sent SIGKILL.
         killed: bool,
-        /// What it was to run.
+        /// The release that it should have run.
         target: Release,
     },
-    /// Nothing serves: a process is started, again and again.
+    /// No process serves; starts are retried with backoff.
     Down {
-        /// The one on its way.
+        /// The process being started.
         next: Run,
-        /// Since when; and whether it has ended already.
+        /// When it was started, or when it failed.
         since: f64,
-        /// It failed, and the next try waits.
+        /// Whether it failed, so that the next start waits for the backoff.
         failed: bool,
-        /// How many tries.
+        /// Starts that have failed before this one.
         tries: u32,
     },
-    /// The process was told to read its settings again.
+    /// The serving process was sent SIGHUP to reload its settings.
     Reloading {
-        /// What it is to run.
+        /// The release whose settings the change is to.
         target: Release,
-        /// Since when.
+        /// When the signal was sent.
         since: f64,
-        /// It was told to go back to what it had.
+        /// Whether the reload was reverted: the process must report its former settings.
         reverting: bool,
     },
 }
 
-/// A front.
+/// The change of one front, from one release to the other or to a new process of the same release.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Change {
     timeouts: ChangeTimeouts,
-    /// All changed settings take effect in service.
+    /// Whether the change is made by reload: all changed settings take effect without a restart.
     reload: bool,
-    /// Which process serves, and what it runs.
+    /// The serving process and its release.
     serving: Option<(Run, Release)>,
     phase: ChangePhase,
-    /// The number of the process that is started next.
+    /// Number of the next process to be started.
     next: Run,
-    /// Since when the one that serves is silent.
+    /// Since when the serving process has not answered or has accepted no clients.
     silent_since: Option<f64>,
-    /// Processes that were told to end while something else was under way, and since when.
+    /// Processes that are being stopped besides the change in progress, and when each was last sent a signal.
     leftovers: Vec<(Run, f64)>,
 }
 
 impl Change {
-    /// A front whose process `run` serves.
+    /// Creates the state of a front whose process `run` serves.
     pub fn new(timeouts: ChangeTimeouts, reload: bool, run: Run, release: Release) -> Change {
         let phase = ChangePhase::Settled;
         let serving = Some((run, release));
         Change { timeouts, reload, serving, phase, next: run + 1, silent_since: None, leftovers: Vec::new() }
     }
 
-    /// A front as it was found: processes with what they said and what they were started to run, the oldest first;
-    /// `next` is the first free number. Of two, the newer takes over if it says yes to a side; else it is withdrawn.
+    /// Rebuilds the state from the processes found, the oldest first, each with its health and the release
+    /// that it was started with; `next` is the first free number. Of two, the newer takes over if it is
+    /// healthy and runs one of the releases, else it is withdrawn.
     pub fn recover(
         now: f64,
         timeouts: ChangeTimeouts,
@@ -184,18 +186,19 @@
         match *runs {
             [] => change.restart_front(now, 0, commands),
             [(run, health, release)] => change.serving = Some((run, reported(health).unwrap_or(release))),
-            [.., (previous, was, release), (new, is, _)] => {
-                // Whatever is older still was to end.
+            [.., (previous, previous_health, release), (new, new_health, _)] => {
+                // Processes older than the last two were being stopped.
                 let older = runs[..runs.len() - 2].iter().map(|r| r.0);
                 commands.extend(older.clone().map(ProcessCommand::Term));
                 change.leftovers.extend(older.map(|run| (run, now)));
-                if let Some(release) = reported(is) {
+                if let Some(release) = reported(new_health) {
                     change.serving = Some((new, release));
                     change.phase = ChangePhase::StoppingPrevious { previous, since: now, killed: false };
                     commands.push(ProcessCommand::Term(previous));
                 } else {
-                    // Withdrawn, it costs nothing; whether it would have come is not known.
-                    change.serving = Some((previous, reported(was).unwrap_or(release)));
+                    // Withdrawing it is safe: the previous process serves. Whether it would have become
+                    // healthy is unknown.
+                    change.serving = Some((previous, reported(previous_health).unwrap_or(release)));
                     change.phase = ChangePhase::Withdrawing {
                         next: new,
                         since: now,
@@ -209,22 +212,22 @@
         change
     }
 
-    /// Which process serves, and what it runs.
+    /// Returns the serving process and its release.
     pub fn serving(&self) -> Option<(Run, Release)> {
         self.serving
     }
 
-    /// Where it stands.
+    /// Returns the state of the change.
     pub fn phase(&self) -> ChangePhase {
         self.phase
     }
 
-    /// Is nothing under way, and one process there and no other?
+    /// Returns whether no change is in progress and no process is being stopped.
     pub fn settled(&self) -> bool {
         self.phase == ChangePhase::Settled && self.leftovers.is_empty()
     }
 
-    /// Is a process of this side serving, or on its way to?
+    /// Returns whether the front runs this release or is changing to it.
     pub fn targets(&self, release: Release) -> bool {
         match self.phase {
             ChangePhase::Starting { target, .. }
@@ -233,12 +236,12 @@
         }
     }
 
-    /// For how long the process that serves has been silent (seconds).
+    /// Returns for how long the serving process has not answered or has accepted no clients (seconds).
     pub fn silent_for(&self, now: f64) -> f64 {
         self.silent_since.map_or(0.0, |since| now - since)
     }
 
-    /// A span passed in which nobody looked: it counts for nothing.
+    /// Excludes a span without observations (seconds) from all timeouts.
     pub fn exclude_gap(&mut self, gap: f64) {
         match &mut self.phase {
             ChangePhase::Settled => {}
@@ -255,7 +258,7 @@
         self.leftovers.iter_mut().for_each(|l| l.1 += gap);
     }
 
-    /// A settled front goes to this side; one that is there starts a process anew all the same.
+    /// Starts the change of a settled front to this release. A front that runs it already gets a new process.
     pub fn start_change(&mut self, now: f64, target: Release, commands: &mut Vec<ProcessCommand>) {
         let (true, Some((run, release))) = (self.settled(), self.serving) else { return };
         if self.reload && release != target {
@@ -267,7 +270,7 @@
         commands.push(ProcessCommand::Start(next, target));
     }
 
-    /// What is on its way to the new side is not wanted any more.
+    /// Cancels a change to the new release that is in progress.
     pub fn cancel_change(&mut self, now: f64, commands: &mut Vec<ProcessCommand>) {
         match self.phase {
             ChangePhase::Starting { next, target: Release::New, .. } => {
@@ -287,9 +290,9 @@
         self.next - 1
     }
 
-    /// Starts a process where none serves: of what ran before, which is known to serve.
+    /// Starts a process where none serves, of the old release, which is known to work.
     fn restart_front(&mut self, now: f64, tries: u32, commands: &mut Vec<ProcessCommand>) {
-        // What was to end still has to.
+        // A process that was being stopped must still be waited for.
         if let ChangePhase::StoppingPrevious { previous: run, since, .. }
         | ChangePhase::Withdrawing { next: run, since, .. } = self.phase
         {
@@ -300,7 +303,7 @@
         commands.push(ProcessCommand::Start(next, Release::Old));
     }
 
-    /// Hears of one of its processes; what is to be done, and what came of it.
+    /// Handles an observation of one of the front's processes; appends the commands and events that result.
     pub fn handle_event(
         &mut self,
         now: f64,
@@ -346,7 +349,7 @@
                             self.phase =
                                 ChangePhase::StoppingPrevious { previous, since: now, killed: false };
                         }
-                        // The one before ended by itself meanwhile.
+                        // The previous process has exited by itself meanwhile.
                         None => {
                             self.phase = ChangePhase::Settled;
                             events.push(ProcessEvent::Changed(target));
@@ -405,7 +408,7 @@
                 events.push(ProcessEvent::GaveUp(target));
                 self.settle(now, commands);
             }
-            // It may yet say yes; if not, another is started then.
+            // The new process may still become healthy; if it fails, another is started then.
             ChangePhase::Starting { .. } => {}
             ChangePhase::Withdrawing { next, target, .. } if next == run => {
                 events.push(ProcessEvent::GaveUp(target));
@@ -431,7 +434,7 @@
         }
     }
 
-    /// Nothing more is under way; where nothing serves, a process is started.
+    /// Ends the change; where no process serves, one is started.
     fn settle(&mut self, now: f64, commands: &mut Vec<ProcessCommand>) {
         self.phase = ChangePhase::Settled;
         if self.serving.is_none() {
@@ -439,7 +442,7 @@
         }
     }
 
-    /// Time has passed.
+    /// Applies the timeouts that have passed.
     pub fn tick(&mut self, now: f64, commands: &mut Vec<ProcessCommand>, events: &mut Vec<ProcessEvent>) {
         let timeouts = self.timeouts;
         for (run, since) in &mut self.leftovers {
@@ -485,7 +488,7 @@
                 }
                 let Some((run, release)) = self.serving else { return };
                 if reverting {
-                    // It does not heed its settings either way: a process beside it is the way that is left.
+                    // Neither reload took effect: only a new process can restore the former settings.
                     events.push(ProcessEvent::GaveUp(target));
                     let next = self.allocate_run();
                     self.phase =
--- a/src/rollout/controller/mod.rs
+++ b/src/rollout/controller/mod.rs
@@ -1,5 +1,6 @@
-//! The controller of a rollout: watched, changed stage by stage, judged, gone back from, ended. Each record of what it does
-//! comes before what it does, so that a second start goes on from the records and from what the fronts then say.
+//! The controller of a rollout: it watches the fronts, changes them stage by stage, judges each stage, rolls
+//! back and ends the rollout. Each record precedes the action that it announces, so that a restarted
+//! controller continues from the records and from the processes that it finds.
 
 mod crashes;
 mod observation;
@@ -17,37 +18,48 @@
 pub use report::Report;
 use std::collections::BTreeMap;
 
-/// A span without a look that is longer was no look at the fronts: it counts for nothing (seconds).
+/// Longest time between two steps that counts; a longer one is excluded from all timeouts and evidence
+/// (seconds).
 const MAX_STEP_GAP_S: f64 = 5.0;
-/// A front that could not be changed is tried again after so long (seconds), so many times in all.
+/// Delay before the change of a front that failed is tried again (seconds).
 const CHANGE_RETRY_DELAY_S: f64 = 3.0;
+/// Failed changes of one front in a row that stop the rollout.
 const MAX_CHANGE_TRIES: u32 = 2;
 
+/// Phase of the rollout.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Phase {
+    /// Fronts are observed for a baseline before anything changes.
     Watching,
+    /// Fronts of the current stage are being changed.
     Changing,
-    Soaking { since: f64 },
-    RollingBack { aborted: bool },
+    /// All fronts of the stage are changed and observed.
+    Soaking {
+        since: f64,
+    },
+    RollingBack {
+        aborted: bool,
+    },
     Ended(Outcome),
 }
 
+/// State of one front.
 #[derive(Debug, Clone)]
 struct FrontState {
     change: Change,
     location: usize,
     series: Series,
-    /// What its present process says it runs.
+    /// Last health reported by the serving process.
     reported_health: Option<Health>,
-    /// What it did since the last window closed.
+    /// Counts since the last window closed.
     unjudged: Option<Delta>,
-    /// Requests that it ended while it was only watched, and for how long.
+    /// Requests that ended in the watching phase, and the seconds observed.
     watched_requests: f64,
     watched_s: f64,
-    /// Changes that failed since one last went well, and when the next may be tried.
+    /// Changes that failed since the last success, and when the next may be tried.
     failed_changes: u32,
     retry_at: f64,
-    /// Its control restart of this stage is still to come.
+    /// Whether the front must still be restarted as a control of this stage.
     restart_due: bool,
     rollback_failed: bool,
 }
@@ -60,7 +72,7 @@
     release: Release,
 }
 
-/// A rollout.
+/// Decides what a rollout does next, given the time and observations.
 #[derive(Debug, Clone)]
 pub struct RolloutController {
     plan: Plan,
@@ -76,9 +88,9 @@
     gate: Gate,
     fleet_health: FleetHealth,
     baseline_counts: Vec<ClassCounts>,
-    /// Processes that ended by themselves or fell silent: when, and of which side.
+    /// Processes that crashed or stopped answering and have not been judged.
     process_failures: Vec<ProcessFailure>,
-    /// Of this stage: new and old, by class.
+    /// Counts of the current stage by class: new fronts, old fronts.
     stage_counts: Vec<[ClassCounts; 2]>,
     window_end: f64,
     last_step: f64,
@@ -86,10 +98,12 @@
 }
 
 impl RolloutController {
-    /// A rollout of a checked plan over fronts as they were found, going on from these records if there are any.
+    /// Creates the controller of a checked plan from the processes found, and continues from `records` if
+    /// there are any.
     pub fn new(now: f64, plan: Plan, found: Vec<Found>, records: &[Record]) -> RolloutController {
         let (locations, location_count) = plan.locations();
-        // What each process was started to run, or told to read: one that says nothing is taken to run that.
+        // The release that each process was last started or reloaded with; one that does not answer is taken
+        // to run it.
         let mut started: BTreeMap<(usize, Run), Release> = BTreeMap::new();
         for record in records {
             if let Record::Ordered {
@@ -109,7 +123,7 @@
             let runs: Vec<(Run, Health, Release)> = found.runs.iter().map(run).collect();
             let (timeouts, reload) = (plan.spans.change_timeouts(), plan.limits.reload);
             let change = Change::recover(now, timeouts, reload, &runs, found.next.max(1), &mut recovery);
-            commands.extend(recovery.into_iter().map(|o| (i, o)));
+            commands.extend(recovery.into_iter().map(|command| (i, command)));
             fronts.push(FrontState {
                 change,
                 location,
@@ -153,11 +167,11 @@
             let (name, fronts) = (controller.plan.name.clone(), controller.fronts.len());
             controller.push_record(Record::Began { name, fronts });
         }
-        commands.into_iter().for_each(|(front, order)| controller.push_command(front, order));
+        commands.into_iter().for_each(|(front, command)| controller.push_command(front, command));
         controller
     }
 
-    /// Goes through the records of an earlier start.
+    /// Restores the state from the records of an earlier run.
     fn replay(&mut self, now: f64, records: &[Record]) {
         for record in records {
             match record {
@@ -190,7 +204,7 @@
             }
         }
         if self.stage > 0 && self.stage >= self.stages.len() && self.phase == Phase::Changing {
-            // Killed between the last pass and the end.
+            // The earlier run was killed between the records of the last passed stage and of the end.
             return self.finish(Outcome::Done);
         }
         self.gate.begin_stage(now, self.plan.spans.soak_s);
@@ -200,34 +214,33 @@
         self.actions.push(Action::Keep(record));
     }
 
-    fn push_command(&mut self, front: usize, order: ProcessCommand) {
-        self.push_record(Record::Ordered { front, order });
-        self.actions.push(Action::Tell(front, order));
+    /// Records a command before it is carried out.
+    fn push_command(&mut self, front: usize, command: ProcessCommand) {
+        self.push_record(Record::Ordered { front, order: command });
+        self.actions.push(Action::Tell(front, command));
     }
 
-    /// What is to be done, in order.
+    /// Takes the actions to be carried out, in order.
     pub fn take(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
-    /// How it ended, if it did.
+    /// Returns the outcome, if the rollout has ended.
     pub fn ended(&self) -> Option<Outcome> {
         if let Phase::Ended(end) = self.phase { Some(end) } else { None }
     }
 
-    /// The process of a front that serves, and what it runs.
+    /// Returns a front's serving process and its release.
     pub fn serving(&self, front: usize) -> Option<(Run, Release)> {
         self.fronts[front].change.serving()
     }
 
-    /// A front's change.
+    /// Returns the change of a front.
     pub fn change(&self, front: usize) -> &Change {
         &self.fronts[front].change
     }
 
-    // ---- What is heard ----
-
-    /// A process answered, ended, or could not be started.
+    /// Handles an observation of a process.
     pub fn hear(&mut self, now: f64, front: usize, event: Event) {
         if let Event::Said(run, health) = event
             && self.fronts[front].change.serving().is_some_and(|s| s.0 == run)
@@ -239,7 +252,7 @@
         });
     }
 
-    /// A process told its figures.
+    /// Adds a reading of a process's counters; one of a process that does not serve is ignored.
     pub fn read(&mut self, now: f64, front: usize, reading: Reading) {
         let stale = self.plan.spans.stale_s;
         let state = &mut self.fronts[front];
@@ -252,7 +265,7 @@
         }
     }
 
-    /// An operator speaks.
+    /// Applies an operator's command; one that has no effect is not recorded.
     pub fn say(&mut self, now: f64, command: OperatorCommand) {
         if self.ended().is_some() {
             return;
@@ -260,7 +273,7 @@
         match command {
             OperatorCommand::Pause if self.paused_since.is_none() => self.paused_since = Some(now),
             OperatorCommand::Resume if self.paused_since.is_some() => {
-                // The time in between is not the stage's.
+                // The pause does not count towards the stage's time limit.
                 self.stage_started_at += now - self.paused_since.take().unwrap_or(now);
             }
             OperatorCommand::Abort if !matches!(self.phase, Phase::RollingBack { .. }) => {
@@ -272,6 +285,7 @@
         self.push_record(Record::CommandReceived(command));
     }
 
+    /// Applies `act` to a front's change, and records and carries out what results.
     fn update_front(
         &mut self,
         now: f64,
@@ -300,12 +314,10 @@
                 ProcessEvent::Killed | ProcessEvent::Lost => {}
             }
         }
-        commands.into_iter().for_each(|order| self.push_command(front, order));
+        commands.into_iter().for_each(|command| self.push_command(front, command));
     }
 
-    // ---- What is decided ----
-
-    /// Time has passed: everything that is due.
+    /// Does everything that is due at `now`.
     pub fn step(&mut self, now: f64) {
         let gap = now - self.last_step;
         self.last_step = now;
@@ -330,7 +342,7 @@
         }
     }
 
-    /// Nobody looked for a while (this program stood still, or the machine did).
+    /// Excludes a span without observations (seconds), in which this program or the machine was suspended.
     fn exclude_gap(&mut self, gap: f64) {
         for state in &mut self.fronts {
             state.change.exclude_gap(gap);
@@ -357,9 +369,9 @@
         }
     }
 
-    /// What speaks against going on.
+    /// Returns the first reason to roll back, if there is one.
     fn reason_to_roll_back(&mut self, now: f64) -> Option<String> {
-        if let Some(why) = self.crashes(now) {
+        if let Some(why) = self.check_process_failures(now) {
             return Some(why);
         }
         if let Verdict::Worse { measure, class, by, bound } = self.gate.verdict(now) {
@@ -369,22 +381,22 @@
         let failed = |m: &FrontState| m.failed_changes >= MAX_CHANGE_TRIES && !m.restart_due;
         if let Some(front) = self.fronts.iter().position(failed) {
             let name = &self.plan.fronts[front].name;
-            return Some(format!("front {name} could not be changed, {} times", MAX_CHANGE_TRIES));
+            return Some(format!("the change of front {name} failed {} times", MAX_CHANGE_TRIES));
         }
         if let Some(class) = self.fleet_health.degraded_beyond_patience(now) {
             let class = &self.plan.classes[class];
-            return Some(format!("the whole fleet does worse than before in '{class}'"));
+            return Some(format!("the whole fleet fails more requests of '{class}' than before the rollout"));
         }
         let spans = &self.plan.spans;
         if now - self.started_at > spans.longest_s {
-            return Some("it took longer than 'longest_s'".into());
+            return Some("the rollout took longer than 'spans.longest_s'".into());
         }
         let paused = self.paused_since.map_or(0.0, |since| now - since);
         (now - self.stage_started_at - paused > spans.longest_stage_s)
-            .then(|| format!("stage {} could not be judged in time", self.stage + 1))
+            .then(|| format!("stage {} could not be judged within 'spans.longest_stage_s'", self.stage + 1))
     }
 
-    /// Looks whether the whole does worse than before: nothing is changed while it does.
+    /// Updates the health of the whole fleet; no front is changed while it is degraded.
     fn check_fleet_health(&mut self, now: f64) {
         let new_shares: Vec<f64> = (0..self.location_sizes.len()).map(|l| self.new_share(l)).collect();
         match self.fleet_health.update(now, &new_shares) {
@@ -394,7 +406,7 @@
         }
     }
 
-    /// The share of a location's fronts that run the new side.
+    /// Returns the share of a location's fronts that run the new release.
     fn new_share(&self, location: usize) -> f64 {
         let new = |m: &&FrontState| {
             m.location == location && m.change.serving().is_some_and(|s| s.1 == Release::New)
@@ -402,24 +414,27 @@
         self.fronts.iter().filter(new).count() as f64 / self.location_sizes[location].max(1) as f64
     }
 
-    /// One step of a stage: fronts are changed, or it is watched.
+    /// Advances a stage: rolls back, changes fronts, or passes the stage once it has soaked and could be
+    /// judged.
     fn step_stage(&mut self, now: f64) {
         self.check_fleet_health(now);
         if let Some(why) = self.reason_to_roll_back(now) {
             return self.start_rollback(now, why, false);
         }
-        let upto = self.stages[..=self.stage].iter().flat_map(|s| s.fronts.iter().copied());
-        let wanted: Vec<usize> = upto.filter(|&f| !self.fronts[f].change.targets(Release::New)).collect();
-        let restarts: Vec<usize> = (0..self.fronts.len()).filter(|&f| self.fronts[f].restart_due).collect();
-        let busy = self.fronts.iter().any(|m| !m.change.settled());
+        let due = self.stages[..=self.stage].iter().flat_map(|s| s.fronts.iter().copied());
+        let to_change: Vec<usize> = due.filter(|&f| !self.fronts[f].change.targets(Release::New)).collect();
+        let to_restart: Vec<usize> = (0..self.fronts.len()).filter(|&f| self.fronts[f].restart_due).collect();
+        let changing = self.fronts.iter().any(|m| !m.change.settled());
         if self.paused_since.is_none() && !self.fleet_health.is_degraded() {
-            let turns =
-                wanted.iter().map(|&f| (f, Release::New)).chain(restarts.iter().map(|&f| (f, Release::Old)));
-            for (front, to) in turns.collect::<Vec<_>>() {
-                self.change_front(now, front, to);
+            let changes = to_change
+                .iter()
+                .map(|&f| (f, Release::New))
+                .chain(to_restart.iter().map(|&f| (f, Release::Old)));
+            for (front, target) in changes.collect::<Vec<_>>() {
+                self.change_front(now, front, target);
             }
         }
-        if !wanted.is_empty() || !restarts.is_empty() || busy {
+        if !to_change.is_empty() || !to_restart.is_empty() || changing {
             return;
         }
         let Phase::Soaking { since } = self.phase else {
@@ -427,10 +442,10 @@
             return;
         };
         let gates = &self.plan.gates;
-        let asked = self.gate.judged_requests().iter().enumerate();
-        let enough = asked
+        let requests = self.gate.judged_requests().iter().enumerate();
+        let enough = requests
             .filter(|(class, _)| !gates.not_awaited.contains(class))
-            .all(|(_, &asked)| asked >= gates.least_requests);
+            .all(|(_, &requests)| requests >= gates.least_requests);
         let soaked = now - since >= self.plan.spans.soak_s;
         let undecided = self.gate.undecided(now, &self.stages[self.stage].fronts).is_some();
         if !soaked || !enough || undecided || self.fleet_health.is_degraded() || self.paused_since.is_some() {
@@ -445,22 +460,22 @@
         }
     }
 
-    /// Has a front change, if its location bears one more at once.
-    fn change_front(&mut self, now: f64, front: usize, to: Release) {
+    /// Starts the change of a front if its location's limit of simultaneous changes allows it.
+    fn change_front(&mut self, now: f64, front: usize, target: Release) {
         let location = self.fronts[front].location;
-        let here = self.fronts.iter().filter(|m| m.location == location && !m.change.settled()).count();
-        let most = match self.plan.limits.by {
+        let changing = self.fronts.iter().filter(|m| m.location == location && !m.change.settled()).count();
+        let max_changing = match self.plan.limits.by {
             GroupBy::Front => (self.plan.limits.at_once * self.location_sizes[location] as f64) as usize,
             GroupBy::Location => self.location_sizes[location],
         };
         let state = &self.fronts[front];
-        if here < most.max(1) && state.change.settled() && now >= state.retry_at {
-            self.update_front(now, front, |change, commands, _| change.start_change(now, to, commands));
+        if changing < max_changing.max(1) && state.change.settled() && now >= state.retry_at {
+            self.update_front(now, front, |change, commands, _| change.start_change(now, target, commands));
         }
     }
 
-    fn finish(&mut self, end: Outcome) {
-        self.phase = Phase::Ended(end);
-        self.push_record(Record::Ended(end));
+    fn finish(&mut self, outcome: Outcome) {
+        self.phase = Phase::Ended(outcome);
+        self.push_record(Record::Ended(outcome));
     }
 }
--- a/src/rollout/controller/observation.rs
+++ b/src/rollout/controller/observation.rs
@@ -1,4 +1,4 @@
-//! What fronts did in a window, and what was usual before anything changed.
+//! Collects what fronts did in a window, and the baseline before anything changes.
 
 use super::{FrontState, Phase, RolloutController};
 use crate::rollout::change::{Health, Release};
@@ -7,7 +7,7 @@
 use crate::rollout::window::{ClassCounts, Window};
 
 impl RolloutController {
-    /// A window closes: what fronts did in it goes to the gate.
+    /// Closes a window and passes its counts to the gate and to the fleet's health.
     pub(super) fn close_window(&mut self, now: f64) {
         let spans = &self.plan.spans;
         let (stale, warm) = (spans.stale_s, spans.warm_s);
@@ -35,7 +35,7 @@
                 state.watched_requests += asked;
                 state.watched_s += delta.span;
             }
-            // In change, or something else than it should run: it stands for neither side.
+            // A front in change, or one that runs something unexpected, counts for neither release.
             let (true, Some((run, release))) = (state.change.settled(), state.change.serving()) else {
                 continue;
             };
@@ -68,7 +68,8 @@
         }
     }
 
-    /// Fronts are watched before anything changes; then the stages are drawn.
+    /// Ends the watching phase when its time is over: sets the baseline, draws the stages and begins the
+    /// first.
     pub(super) fn finish_watching(&mut self, now: f64) {
         if now - self.started_at < self.plan.spans.watch_s || self.paused_since.is_some() {
             return;
--- a/src/rollout/controller/report.rs
+++ b/src/rollout/controller/report.rs
@@ -1,4 +1,4 @@
-//! Where a rollout stands, for people.
+//! Progress report of a rollout for operators.
 
 use super::{Phase, RolloutController};
 use crate::rollout::change::{ChangePhase, Release};
@@ -6,45 +6,45 @@
 use crate::rollout::records::Outcome;
 use crate::rollout::window::ClassCounts;
 
-/// Where it stands, for people.
+/// Progress of a rollout for operators.
 #[derive(Debug, Clone, PartialEq)]
 #[cfg_attr(feature = "rollout", derive(serde::Serialize, serde::Deserialize))]
 pub struct Report {
-    /// In words.
+    /// The phase, in words.
     pub phase: String,
-    /// The stage, from 0 on, of so many.
+    /// The current stage, counted from 0.
     pub stage: usize,
-    /// How many there are.
+    /// Number of stages.
     pub stages: usize,
-    /// Fronts that run the old side, the new side, are in change, do not answer.
+    /// Fronts that run the old release.
     pub old: usize,
-    /// On the new side.
+    /// Fronts that run the new release.
     pub new: usize,
-    /// In change.
+    /// Fronts in change.
     pub changing: usize,
-    /// Serving and silent.
+    /// Settled fronts whose serving process does not answer or accepts no clients.
     pub silent: usize,
-    /// An operator paused it.
+    /// Whether an operator paused the rollout.
     pub paused: bool,
-    /// The whole does worse than before.
+    /// Whether changes wait because the whole fleet does worse than before.
     pub held: bool,
-    /// Why the stage cannot be judged yet, beside requests that are still to come.
+    /// Why the stage cannot be judged yet, other than for lack of requests.
     #[cfg_attr(feature = "rollout", serde(default))]
     pub undecided: Option<Undecided>,
-    /// Why it goes back, or went.
+    /// Reason of the rollback, if there is one.
     pub why: Option<String>,
-    /// How it ended.
+    /// The outcome, once the rollout has ended.
     pub end: Option<Outcome>,
-    /// Evidence by class, for each of `COUNTED`, as logarithms; and what stops it.
+    /// Logarithms of the likelihood ratios by class, for each of `COUNTED`.
     pub evidence: Vec<[f64; COUNTED.len()]>,
-    /// What stops it.
+    /// Evidence above this bound stops the rollout.
     pub bound: f64,
-    /// Requests of this stage and their unserved, of new and of old fronts, by class.
+    /// Requests of this stage and how many of them were not served, of new and of old fronts, by class.
     pub sums: Vec<[(f64, f64); 2]>,
 }
 
 impl RolloutController {
-    /// Where it stands.
+    /// Returns the progress of the rollout.
     pub fn report(&self, now: f64) -> Report {
         let mut counts = [0; 4];
         for m in &self.fronts {
--- a/src/rollout/controller/rollback.rs
+++ b/src/rollout/controller/rollback.rs
@@ -1,14 +1,15 @@
-//! The way back: every front runs the old side again, or is told to be stuck.
+//! Rollback: brings every front back to the old release, or records that it could not.
 
 use super::{FrontState, Phase, RolloutController};
 use crate::rollout::change::Release;
 use crate::rollout::records::{Outcome, Record};
 
-/// A front that could not be brought back is tried so many times before the others count as all that is left.
+/// Failed changes after which a front's rollback is given up.
 const MAX_ROLLBACK_TRIES: u32 = 4;
 
 impl RolloutController {
-    /// The fronts go back from now on, as many at once as went there.
+    /// Starts the rollback: cancels changes to the new release and changes fronts back, as many at once as in
+    /// a stage.
     pub(super) fn start_rollback(&mut self, now: f64, why: String, aborted: bool) {
         self.push_record(Record::RollbackStarted { why: why.clone(), aborted });
         (self.rollback_reason, self.phase) = (Some(why), Phase::RollingBack { aborted });
@@ -20,7 +21,8 @@
         self.step_rollback(now, aborted);
     }
 
-    /// Fronts go back, as many at once as went there; one that does not is tried again, and the rest goes on.
+    /// Continues the rollback; a front that fails is retried while the others go on. Ends it when all are
+    /// done.
     pub(super) fn step_rollback(&mut self, now: f64, aborted: bool) {
         for front in 0..self.fronts.len() {
             let state = &self.fronts[front];
@@ -34,11 +36,11 @@
             }
             self.change_front(now, front, Release::Old);
         }
-        let there =
+        let done =
             |m: &FrontState| m.change.settled() && (m.rollback_failed || m.change.targets(Release::Old));
-        if self.fronts.iter().all(there) {
-            let rollback_failed = self.fronts.iter().any(|m| m.rollback_failed);
-            self.finish(match (rollback_failed, aborted) {
+        if self.fronts.iter().all(done) {
+            let any_failed = self.fronts.iter().any(|m| m.rollback_failed);
+            self.finish(match (any_failed, aborted) {
                 (true, _) => Outcome::Failed,
                 (false, true) => Outcome::Aborted,
                 (false, false) => Outcome::Stopped,
--- a/src/rollout/fleet_health.rs
+++ b/src/rollout/fleet_health.rs
@@ -1,55 +1,57 @@
-//! Does the fleet as a whole do worse than before the rollout, whoever's fault it is?
+//! Detects that the fleet as a whole serves a smaller share of requests than before the rollout, whatever the
+//! cause.
 //!
-//! While it does, nothing more is changed. It may do so for the plan's patience; the rollout goes back if what is asked
-//! after that still does worse. A location that is in trouble of its own is waited for.
+//! No front is changed while it does. The rollout rolls back if requests after the plan's patience still do
+//! worse. An outage of a single location that the rollout did not cause is waited for.
 
 use super::evidence::binomial_tail;
 use super::window::ClassCounts;
 use std::collections::VecDeque;
 
-/// The whole is judged over so long (seconds).
+/// The fleet is judged over this time (seconds).
 const JUDGED_SPAN_S: f64 = 10.0;
-/// Fewer requests of a class say nothing of how it does.
+/// A class with fewer requests is not judged.
 const MIN_REQUESTS: f64 = 50.0;
-/// What chance does more seldom than once in so many times is not taken for chance.
+/// An excess with a smaller probability is not taken for chance.
 const SIGNIFICANCE: f64 = 0.01;
-/// A location has clearly fewer new fronts than another below this part of the other's share of them.
+/// A location has clearly fewer new fronts than another if its share of them is below this multiple of the
+/// other's.
 const CLEARLY_FEWER_RATIO: f64 = 0.8;
 
-/// What all fronts of each location did in a window, by class.
+/// Counts of all fronts in a window, by location and class.
 type Locations = Vec<Vec<ClassCounts>>;
 
-/// What changed.
+/// A change of the fleet's health.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HealthChange {
-    /// The whole does worse than before in this class.
+    /// The fleet does worse than before in this class.
     Degraded(usize),
-    /// It does as well as before again.
+    /// The fleet does as well as before again.
     Recovered,
 }
 
-/// The whole does worse.
+/// A time in which the fleet does worse.
 #[derive(Debug, Clone, Copy)]
 struct Degradation {
     since: f64,
     class: usize,
 }
 
-/// What is known of the whole.
+/// Health of the whole fleet, compared with that before the rollout.
 #[derive(Debug, Clone)]
 pub struct FleetHealth {
     /// Share of requests that were not served before the rollout, by class.
     baseline: Vec<f64>,
-    /// That share may rise by so much.
+    /// Permitted rise of that share.
     margin: f64,
-    /// For so long it may rise by more (seconds).
+    /// Time for which it may rise by more (seconds).
     patience: f64,
     recent: VecDeque<(f64, Locations)>,
     degradation: Option<Degradation>,
 }
 
 impl FleetHealth {
-    /// Of so many classes, none of which fails requests before.
+    /// Creates the health of a fleet with this many classes, with a baseline of no failed requests.
     pub fn new(classes: usize, margin: f64, patience: f64) -> FleetHealth {
         FleetHealth {
             baseline: vec![0.0; classes],
@@ -60,12 +62,12 @@
         }
     }
 
-    /// The share of requests that are not served on an ordinary day, by class.
+    /// Sets the share of requests that were not served before the rollout, by class.
     pub fn set_baseline(&mut self, baseline: Vec<f64>) {
         self.baseline = baseline;
     }
 
-    /// What all fronts did in a window that ends now.
+    /// Adds the counts of all fronts in a window that ends now.
     pub fn observe(&mut self, now: f64, locations: Locations) {
         self.recent.push_back((now, locations));
         while self.recent.front().is_some_and(|(at, _)| *at < now - JUDGED_SPAN_S) {
@@ -73,7 +75,7 @@
         }
     }
 
-    /// Nobody looked for so long: that time counts for nothing (seconds).
+    /// Excludes a span without observations (seconds).
     pub fn exclude_gap(&mut self, gap: f64) {
         self.recent.clear();
         if let Some(degradation) = &mut self.degradation {
@@ -81,13 +83,14 @@
         }
     }
 
-    /// Does the whole do worse than before?
+    /// Returns whether the fleet does worse than before.
     pub fn is_degraded(&self) -> bool {
         self.degradation.is_some()
     }
 
-    /// The first class in which what was asked after the patience ran out still does worse. Requests of before say nothing of
-    /// that: a short trouble stays among the recent ones for longer than the patience may be.
+    /// Returns the first class whose requests after the end of the patience still do worse. Earlier requests
+    /// are left out: those of a short outage stay among the recent ones for `JUDGED_SPAN_S`, which may exceed
+    /// the patience.
     pub fn degraded_beyond_patience(&self, now: f64) -> Option<usize> {
         let patience_end = self.degradation?.since + self.patience;
         let later = |at: f64| at > patience_end;
@@ -95,7 +98,8 @@
             .then(|| self.classes().find(|&class| self.is_significantly_worse(class, later)))?
     }
 
-    /// Looks at the recent requests. `new_shares` are the shares of each location's fronts that run the new side.
+    /// Judges the recent requests. `new_shares` are the shares of each location's fronts that run the new
+    /// release.
     pub fn update(&mut self, now: f64, new_shares: &[f64]) -> Option<HealthChange> {
         match self.degradation {
             None => {
@@ -120,7 +124,7 @@
         0..self.baseline.len()
     }
 
-    /// Requests of a class in windows that ended at times like these, at one location or everywhere.
+    /// Sums a class over the windows whose end satisfies `when`, at one location or everywhere.
     fn sum(&self, class: usize, location: Option<usize>, when: impl Fn(f64) -> bool) -> ClassCounts {
         let mut sum = ClassCounts::default();
         for (_, locations) in self.recent.iter().filter(|(at, _)| when(*at)) {
@@ -133,24 +137,27 @@
         sum
     }
 
-    /// Is the share of recent requests that were not served over that of before by so much?
-    fn exceeds(&self, class: usize, location: Option<usize>, by: f64) -> bool {
+    /// Returns whether the share of recent requests that were not served exceeds the baseline by more than
+    /// `margin`.
+    fn exceeds(&self, class: usize, location: Option<usize>, margin: f64) -> bool {
         let sum = self.sum(class, location, |_| true);
-        sum.requests >= MIN_REQUESTS && sum.unserved > sum.requests * (self.baseline[class] + by)
+        sum.requests >= MIN_REQUESTS && sum.unserved > sum.requests * (self.baseline[class] + margin)
     }
 
     fn is_degraded_class(&self, class: usize) -> bool {
         self.exceeds(class, None, self.margin) && self.is_significantly_worse(class, |_| true)
     }
 
-    /// A few of a rare class are chance: it has to be more than what the margin allows, and by more than that.
+    /// Returns whether the failures exceed the margin by more than chance explains, as a few in a rare class
+    /// do not.
     fn is_significantly_worse(&self, class: usize, when: impl Fn(f64) -> bool) -> bool {
-        let most = self.baseline[class] + self.margin;
+        let permitted = self.baseline[class] + self.margin;
         let sum = self.sum(class, None, when);
-        binomial_tail(sum.unserved as u64, sum.requests as u64, most) < SIGNIFICANCE
+        binomial_tail(sum.unserved as u64, sum.requests as u64, permitted) < SIGNIFICANCE
     }
 
-    /// A location that does worse though it has fewer of the new fronts than one that does not is in trouble of its own.
+    /// Returns whether the cause is local: a location does worse though it does not have clearly more new
+    /// fronts than one that does well.
     fn is_local(&self, class: usize, new_shares: &[f64]) -> bool {
         let worse = |location: &usize| self.exceeds(class, Some(*location), self.margin);
         let (bad, good): (Vec<usize>, Vec<usize>) = (0..new_shares.len()).partition(worse);
--- a/src/rollout/fleet_health/tests.rs
+++ b/src/rollout/fleet_health/tests.rs
@@ -1,4 +1,4 @@
-//! The whole over windows of half a second of one location with one class.
+//! Tests of the fleet's health with windows of half a second, one location and one class.
 
 use super::*;
 
@@ -6,7 +6,8 @@
 const PATIENCE: f64 = 8.0;
 const WINDOW: f64 = 0.5;
 
-/// Plays so many seconds, of whose requests this share is not served; when the rollout would go back.
+/// Plays a number of seconds with this share of unserved requests. Returns when the patience ends with the
+/// fleet still degraded, and the changes of its health.
 fn play(seconds: f64, asked: f64, share: impl Fn(f64) -> f64) -> (Option<f64>, Vec<(f64, HealthChange)>) {
     let mut health = FleetHealth::new(1, MARGIN, PATIENCE);
     let mut changes = Vec::new();
@@ -22,9 +23,10 @@
     (None, changes)
 }
 
-/// Requests that failed early in the patience were still among the last 10 s when it ran out.
+/// Guards against a rollback for an outage that is over: requests that failed early in the patience were
+/// still among the last 10 s at its end.
 #[test]
-fn a_trouble_that_ends_within_the_patience_is_waited_for() {
+fn an_outage_that_ends_within_the_patience_is_waited_for() {
     for ends in [2.0, 4.0, 6.0, 8.0] {
         let (back, changes) =
             play(40.0, 12.0, |now| if (3.0..3.0 + ends).contains(&now) { 0.5 } else { 0.0 });
@@ -35,7 +37,7 @@
 }
 
 #[test]
-fn a_trouble_that_lasts_is_not() {
+fn an_outage_beyond_the_patience_is_not_waited_for() {
     let (back, changes) = play(40.0, 12.0, |now| if now >= 3.0 { 0.5 } else { 0.0 });
     let began = changes[0].0;
     assert!(
@@ -44,15 +46,15 @@
     );
 }
 
-/// One request in ten of a rare class: the evidence takes longer to come, and comes.
+/// One request in ten fails in a class with few requests: the evidence builds up slowly but suffices.
 #[test]
-fn a_slight_harm_to_a_rare_class_is_found_too() {
+fn slight_harm_to_a_rare_class_is_detected() {
     let (back, _) = play(200.0, 10.0, |now| if now >= 3.0 { 0.1 } else { 0.0 });
     assert!(back.is_some_and(|at| at < 60.0), "{back:?}");
 }
 
 #[test]
-fn time_in_which_nobody_looked_does_not_count() {
+fn a_gap_in_observations_does_not_count_towards_the_patience() {
     let mut health = FleetHealth::new(1, MARGIN, PATIENCE);
     let bad = || vec![vec![ClassCounts { requests: 100.0, unserved: 50.0, ..ClassCounts::default() }]];
     health.observe(1.0, bad());
--- a/src/rollout/gate.rs
+++ b/src/rollout/gate.rs
@@ -1,5 +1,6 @@
-//! Is new worse than old? Both are compared over the same time at the same location, processes that just started with
-//! processes that just started, so that what hits both, or one location alone, or whoever starts empty, says nothing.
+//! Decides whether the new release is worse than the old one. Fronts are compared over the same time and at
+//! the same location, recently started processes with recently started ones, so that neither an outage that
+//! affects both or one location, nor an empty state after a start, counts as evidence.
 
 use super::evidence::{Evidence, log_mean};
 use super::plan::Gates;
@@ -7,68 +8,69 @@
 use super::window::{ClassCounts, Cohort, Measure, Window};
 use std::collections::BTreeMap;
 
-/// Why a stage cannot be judged yet.
+/// Reason why a stage cannot be judged yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[cfg_attr(feature = "rollout", derive(serde::Serialize, serde::Deserialize))]
 #[cfg_attr(feature = "rollout", serde(rename_all = "kebab-case"))]
 pub enum Undecided {
-    /// New fronts use too much of this, though not for long yet.
+    /// New fronts use too much of this resource, though not for long enough to stop.
     TooMuch(Measure),
-    /// Most of the stage's fronts were not compared with old ones yet.
+    /// More than half of the stage's fronts have not been compared with old ones yet.
     NotCompared,
 }
 
-/// What the gate says.
+/// Verdict of the gate.
 #[derive(Debug, Clone, PartialEq)]
 #[cfg_attr(feature = "rollout", derive(serde::Serialize, serde::Deserialize))]
 pub enum Verdict {
-    /// Nothing speaks against the new side so far.
+    /// No sufficient evidence against the new release so far.
     Fair,
-    /// It is worse.
+    /// The new release is worse.
     Worse {
-        /// By what.
+        /// The measure that is worse.
         measure: Measure,
-        /// In which class; none where it is no matter of classes.
+        /// The class, for a measure that is counted by class.
         class: Option<usize>,
-        /// The evidence, as the logarithm of how much likelier worse is than alike, or how many times as much is used.
+        /// Logarithm of the likelihood ratio or, for a resource, ratio of the usage to that of old fronts.
         by: f64,
-        /// What was wanted for a stop.
+        /// The bound that was exceeded.
         bound: f64,
     },
 }
 
-/// What is compared by class.
+/// Measures that are compared by class.
 pub const COUNTED: [Measure; 3] = [Measure::Unserved, Measure::Retries, Measure::Slow];
-/// So much is taken to be known of clumps before anything was seen.
+/// Weight of the prior assumption that events are independent (dispersion 1), in degrees of freedom.
 const DISPERSION_PRIOR: f64 = 20.0;
-/// Of one front's bad events in one window so many count, and so many times what is usual for old ones: what fails
-/// together has one cause, and counts on both sides as little.
+/// Bad events of one front in one window that count in any case. Events beyond this and `COUNTED_TIMES_USUAL`
+/// are ignored for both releases: failures that come together have one cause.
 const MIN_COUNTED_EVENTS: f64 = 2.0;
+/// Multiple of the old fronts' usual events that counts in addition.
 const COUNTED_TIMES_USUAL: f64 = 3.0;
-/// Counts of evidence that begin one after the other over a stage, so that harm that comes late is not weighed
-/// against what was fine before it.
+/// Accumulators of evidence that start one after the other over a stage, so that harm that begins late is not
+/// outweighed by good results before it.
 const EVIDENCE_STARTS: usize = 4;
 
-/// Evidence on one measure of one class.
+/// Comparison of one measure of one class.
 #[derive(Debug, Clone, Copy, Default)]
 struct MeasureComparison {
     by_start: [Evidence; EVIDENCE_STARTS],
-    /// How unevenly the old ones' events fall on them, beside chance: a sum, and how many were compared.
+    /// Pearson's chi-square of the old fronts' events against equal rates, and its degrees of freedom.
     chi_square: f64,
     degrees_of_freedom: f64,
-    /// The old ones' events and requests.
+    /// Total events and requests of old fronts.
     old_events: f64,
     old_requests: f64,
 }
 
 impl MeasureComparison {
-    /// What counts of a front's events in a window.
-    fn counts(&self, measure: Measure, sum: &ClassCounts) -> f64 {
+    /// Returns how many of a front's events in a window count.
+    fn counted_events(&self, measure: Measure, sum: &ClassCounts) -> f64 {
         let usual = self.old_events / self.old_requests.max(1.0);
         sum.count(measure).min(MIN_COUNTED_EVENTS + COUNTED_TIMES_USUAL * usual * sum.requests)
     }
 
-    /// Takes a window of each cohort: fronts of one location and age, new and old.
+    /// Adds the windows of each cohort: fronts of one location and age, new and old.
     fn observe<'a>(
         &mut self,
         cohorts: impl Iterator<Item = &'a Vec<&'a Window>>,
@@ -76,11 +78,11 @@
         class: usize,
         started: usize,
     ) {
-        // What was known before this window.
+        // Only what was known before this window, else the evidence is no martingale.
         let (dispersion, known) = (self.dispersion(), *self);
         let count = |window: &Window| {
             let sum = window.class_counts(class);
-            (known.counts(measure, &sum), sum.requests)
+            (known.counted_events(measure, &sum), sum.requests)
         };
         for fronts in cohorts {
             let total = |new: bool| {
@@ -96,7 +98,8 @@
         }
     }
 
-    /// How old fronts differ among themselves, for the windows that follow: their sum, and the events and requests of each.
+    /// Adds how old fronts differ among themselves, for later windows. `total` and `each` are events and
+    /// requests of all old fronts and of each one.
     fn observe_old(&mut self, total: (f64, f64), each: impl Iterator<Item = (f64, f64)>) {
         let rate = total.0 / total.1.max(1.0);
         for (events, requests) in each {
@@ -109,6 +112,8 @@
         self.old_requests += total.1;
     }
 
+    /// Returns the overdispersion of old fronts' events: 1 where they are independent, more where they come
+    /// in clusters.
     fn dispersion(&self) -> f64 {
         ((self.chi_square + DISPERSION_PRIOR) / (self.degrees_of_freedom + DISPERSION_PRIOR)).max(1.0)
     }
@@ -118,22 +123,23 @@
     }
 }
 
-/// The gate of a stage.
+/// Compares new fronts with old ones over the stages of a rollout.
 #[derive(Debug, Clone)]
 pub struct Gate {
     settings: Gates,
     stages: usize,
     comparisons: Vec<[MeasureComparison; COUNTED.len()]>,
-    /// When the stage began, and how long it is expected to take.
+    /// When the stage began, and its expected length (seconds).
     started_at: f64,
     soak_s: f64,
-    /// Requests of new fronts in the stage that can be judged, by class.
+    /// Requests of new fronts in this stage that were compared or could not be for lack of old fronts, by
+    /// class.
     judged_requests: Vec<f64>,
     usage: UsageComparison,
 }
 
 impl Gate {
-    /// For so many classes and stages.
+    /// Creates the gate of a rollout with this many classes and stages.
     pub fn new(settings: Gates, classes: usize, stages: usize) -> Gate {
         let comparisons = vec![Default::default(); classes];
         let usage = UsageComparison::new(&settings);
@@ -148,7 +154,7 @@
         }
     }
 
-    /// A stage begins: what earlier ones showed was judged.
+    /// Begins a stage: the evidence of earlier ones is dropped, since they were judged.
     pub fn begin_stage(&mut self, now: f64, soak_s: f64) {
         (self.started_at, self.soak_s) = (now, soak_s.max(1.0));
         self.judged_requests.fill(0.0);
@@ -156,19 +162,19 @@
         self.usage.begin_stage();
     }
 
-    /// What new and old fronts use.
+    /// Returns the comparison of resource usage.
     pub fn usage(&mut self) -> &mut UsageComparison {
         &mut self.usage
     }
 
-    /// Nobody looked for so long: that time counts for nothing (seconds).
+    /// Excludes a span without observations (seconds).
     pub fn exclude_gap(&mut self, gap: f64) {
         self.started_at += gap;
         self.usage.exclude_gap(gap);
     }
 
-    /// What keeps a stage of these fronts from being judged yet, beside requests that are still to come. No evidence is
-    /// not good evidence: they have to have been compared, and nothing that they use may be over its bound undecided.
+    /// Returns why a stage of these fronts cannot be judged yet, other than for lack of requests. Absence of
+    /// evidence does not pass a stage: fronts must have been compared, and no resource may be over its bound.
     pub fn undecided(&self, now: f64, fronts: &[usize]) -> Option<Undecided> {
         match self.usage.undecided(now) {
             Some(measure) => Some(Undecided::TooMuch(measure)),
@@ -176,12 +182,13 @@
         }
     }
 
-    /// Requests that new fronts ended in this stage and that can be judged, by class.
+    /// Returns the requests that new fronts ended in this stage and that can be judged, by class.
     pub fn judged_requests(&self) -> &[f64] {
         &self.judged_requests
     }
 
-    /// The evidence by class and measure, as logarithms, and what is wanted for a stop.
+    /// Returns the logarithms of the likelihood ratios by class and measure, and the bound above which they
+    /// stop.
     pub fn evidence(&self) -> (Vec<[f64; COUNTED.len()]>, f64) {
         (
             self.comparisons.iter().map(|comparisons| comparisons.map(|l| l.log_ratio())).collect(),
@@ -189,13 +196,13 @@
         )
     }
 
-    /// The chance of a false stop is shared by all that is looked at.
+    /// Returns the bound on the evidence: the probability of a false stop is divided among all comparisons.
     fn bound(&self) -> f64 {
         ((self.comparisons.len() * COUNTED.len() * self.stages) as f64 / self.settings.false_stop).ln()
     }
 
-    /// What fronts did over the same window. `old_left` tells by location whether any front there still runs the old side:
-    /// where none does, new fronts are judged by the whole fleet alone.
+    /// Adds what fronts did over the same window. `old_left` holds by location whether any front still runs
+    /// the old release: where none does, new fronts are judged by the health of the whole fleet alone.
     pub fn observe(&mut self, now: f64, windows: &[Window], old_left: &[bool]) {
         let mut cohorts: BTreeMap<Cohort, Vec<&Window>> = BTreeMap::new();
         for window in windows {
@@ -219,7 +226,7 @@
         self.usage.observe(now, windows);
     }
 
-    /// What it says by now.
+    /// Returns the verdict so far.
     pub fn verdict(&self, now: f64) -> Verdict {
         let bound = self.bound();
         for (class, comparisons) in self.comparisons.iter().enumerate() {
--- a/src/rollout/gate/tests.rs
+++ b/src/rollout/gate/tests.rs
@@ -1,4 +1,4 @@
-//! The gate over windows that are drawn from a seed.
+//! Tests of the gate with windows drawn from a seed.
 
 use super::*;
 
@@ -6,8 +6,9 @@
     Gates { false_stop: 0.01, ..Gates::default() }
 }
 
-/// Windows of a second in two locations, with `n` new fronts at the first and as many old ones beside them.
-fn play(seed: u64, seconds: u32, mut bad: impl FnMut(u32, &Window, usize) -> f64) -> Option<u32> {
+/// Plays windows of one second of 24 fronts in two locations, four of them new; `bad` is the failure
+/// probability of a front and class. Returns the second at which the gate stops.
+fn stopped_at(seed: u64, seconds: u32, mut bad: impl FnMut(u32, &Window, usize) -> f64) -> Option<u32> {
     let mut random = fastrand::Rng::with_seed(seed);
     let mut gate = Gate::new(gates(), 2, 6);
     gate.begin_stage(0.0, 60.0);
@@ -43,44 +44,46 @@
 }
 
 #[test]
-fn what_hits_both_or_one_location_stops_nothing() {
+fn equal_failures_of_old_and_new_fronts_do_not_stop() {
     for seed in 0..40 {
-        assert_eq!(play(seed, 200, |_, _, _| 0.02), None, "seed {seed}");
+        assert_eq!(stopped_at(seed, 200, |_, _, _| 0.02), None, "seed {seed}");
         let burst = |s: u32, _: &Window, _| if (50..80).contains(&s) { 0.6 } else { 0.01 };
-        assert_eq!(play(seed, 200, burst), None, "a burst, seed {seed}");
+        assert_eq!(stopped_at(seed, 200, burst), None, "a burst, seed {seed}");
         let lost = |s: u32, w: &Window, _| if s > 50 && w.location == 0 { 0.5 } else { 0.01 };
-        assert_eq!(play(seed, 200, lost), None, "one location, seed {seed}");
+        assert_eq!(stopped_at(seed, 200, lost), None, "one location, seed {seed}");
     }
 }
 
 #[test]
-fn what_is_worse_in_one_class_at_one_location_or_late_is_found() {
+fn harm_in_one_class_at_one_location_or_late_stops() {
     for seed in 0..20 {
         let all = |_, w: &Window, _| if w.new { 0.1 } else { 0.01 };
-        assert!(play(seed, 60, all).is_some(), "seed {seed}");
+        assert!(stopped_at(seed, 60, all).is_some(), "seed {seed}");
         let rare = |_, w: &Window, class| if w.new && class == 1 { 0.3 } else { 0.01 };
-        assert!(play(seed, 300, rare).is_some(), "the rare class, seed {seed}");
+        assert!(stopped_at(seed, 300, rare).is_some(), "the rare class, seed {seed}");
         let there = |_, w: &Window, _| if w.new && w.location == 1 { 0.1 } else { 0.01 };
-        assert!(play(seed, 120, there).is_some(), "one location, seed {seed}");
+        assert!(stopped_at(seed, 120, there).is_some(), "one location, seed {seed}");
         let late = |s, w: &Window, _| if w.new && s > 30 { 0.1 } else { 0.01 };
-        assert!(play(seed, 90, late).is_some_and(|s| s > 30), "late, seed {seed}");
+        assert!(stopped_at(seed, 90, late).is_some_and(|s| s > 30), "late, seed {seed}");
     }
 }
 
-/// Guards fronts that differ: old ones whose failures come in clumps make clumps of the new ones' worth less.
+/// Guards against false stops where failures come in clusters: clusters of old fronts' failures must lower
+/// the weight of clusters of new fronts' failures.
 #[test]
-fn clumps_that_old_fronts_have_too_are_no_evidence() {
+fn clustered_failures_of_old_and_new_fronts_do_not_stop() {
     let mut stopped = 0;
     for seed in 0..40 {
         let mut random = fastrand::Rng::with_seed(seed ^ 77);
-        stopped +=
-            u32::from(play(seed, 200, |_, _, _| if random.f64() < 0.02 { 0.9 } else { 0.002 }).is_some());
+        stopped += u32::from(
+            stopped_at(seed, 200, |_, _, _| if random.f64() < 0.02 { 0.9 } else { 0.002 }).is_some(),
+        );
     }
     assert!(stopped <= 1, "{stopped} of 40");
 }
 
 #[test]
-fn a_leak_beside_old_fronts_of_the_same_age_stops() {
+fn a_memory_leak_of_a_new_front_stops() {
     let mut gate = Gate::new(gates(), 1, 6);
     gate.begin_stage(0.0, 60.0);
     let mut stopped = None;
@@ -106,9 +109,9 @@
     assert!(stopped.is_some_and(|s| (20..60).contains(&s)), "{stopped:?}");
 }
 
-/// Requests of new fronts counted as judged though no old front was there to compare with.
+/// Guards against requests of new fronts that count as judged though no old front is there to compare with.
 #[test]
-fn what_has_no_old_front_beside_it_does_not_count_as_judged() {
+fn requests_count_as_judged_only_with_a_comparable_old_front() {
     let mut gate = Gate::new(gates(), 1, 6);
     gate.begin_stage(0.0, 60.0);
     let one = |front: usize, new: bool, young: bool| Window {
--- a/src/rollout/mod.rs
+++ b/src/rollout/mod.rs
@@ -1,6 +1,7 @@
-//! A change of the program or its settings over many fronts in stages: the plan, which fronts a stage takes, one front's
-//! change, the gate that compares new with old, and the whole. No I/O, no clock, no randomness of its own: given the
-//! time and what was seen it returns what is to be done, and `onyxyoke-rollout` does it. No part of a front's path.
+//! Staged rollout of a program or of settings over many fronts: the plan, the stages, the change of one
+//! front, the gate that compares the new release with the old one, and the controller. The module does no I/O
+//! and reads no clock and no random source: given the time and observations it returns actions, which
+//! `onyxyoke-rollout` carries out. It is not part of a front's request path.
 
 mod change;
 mod controller;
--- a/src/rollout/plan.rs
+++ b/src/rollout/plan.rs
@@ -1,4 +1,5 @@
-//! The plan of a rollout: what changes, on which fronts, in which stages, and what stops it; checked as a whole.
+//! The plan of a rollout: what changes, on which fronts, in which stages, and what stops it; with its
+//! validation.
 
 use super::change::ChangeTimeouts;
 #[cfg(feature = "rollout")]
@@ -8,137 +9,141 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::PathBuf;
 
-/// Gives a type the forms of a file: read, written, with a schema; keys that are not known are errors.
-macro_rules! file {
+/// Derives serialization and a JSON schema for types of the plan's file; unknown keys are errors.
+macro_rules! plan_types {
     ($($item:item)*) => {$(
-        #[cfg_attr(feature = "rollout", derive(Serialize, Deserialize, JsonSchema), serde(deny_unknown_fields))]
+        #[cfg_attr(feature = "rollout", derive(Serialize, Deserialize, JsonSchema))]
+        #[cfg_attr(feature = "rollout", serde(deny_unknown_fields))]
         #[derive(Debug, Clone, PartialEq)]
         $item
     )*};
 }
 
-file! {
-/// What runs on a front: a program and the variables that it is given beside the platform's.
+plan_types! {
+/// A program and the environment variables that it gets in addition to the platform's.
 pub struct Built {
-    /// The program's file.
+    /// Path of the program.
     pub program: PathBuf,
-    /// Variables for it alone.
+    /// Additional environment variables.
     #[cfg_attr(feature = "rollout", serde(default))]
     pub variables: std::collections::BTreeMap<String, String>,
 }
 
 /// A front.
 pub struct Front {
-    /// Its name, as its settings have it.
+    /// Its name, as in its settings.
     pub name: String,
-    /// Its location: fronts of one location share cache nodes.
+    /// Its location; fronts of one location share cache nodes.
     pub location: String,
-    /// Where its present process answers operators.
+    /// Address of the operator endpoint of its present process.
     pub operators: std::net::SocketAddr,
-    /// Its settings (`NODE_CONFIG`), and those that are rolled out; without them only the program changes.
+    /// Path of its present settings (`NODE_CONFIG`).
     pub settings: PathBuf,
-    /// The settings that are rolled out.
+    /// Path of the settings that are rolled out; without it only the program changes.
     #[cfg_attr(feature = "rollout", serde(default))]
     pub new_settings: Option<PathBuf>,
-    /// Its `TMPDIR`, which both its processes share.
+    /// Its `TMPDIR`, which its old and new process share.
     pub folder: PathBuf,
 }
 
-/// Spans (seconds).
+/// Durations and timeouts (seconds).
 #[cfg_attr(feature = "rollout", serde(default))]
 pub struct Timeouts {
-    /// Fronts are watched for so long before anything changes.
+    /// Time for which fronts are watched before anything changes.
     pub watch_s: f64,
-    /// A stage is watched for so long at least after its last front changed, and so long at most.
+    /// Minimum time for which a stage is watched after its last front changed.
     pub soak_s: f64,
-    /// A stage that could not be judged by then stops the rollout.
+    /// Maximum time of a stage; one that could not be judged by then stops the rollout.
     pub longest_stage_s: f64,
-    /// The whole takes no longer.
+    /// Maximum time of the rollout.
     pub longest_s: f64,
-    /// Fronts are read this often.
+    /// Interval at which the counters of fronts are read and compared.
     pub window_s: f64,
-    /// A reading that is older says nothing.
+    /// Age above which a reading is stale and ignored.
     pub stale_s: f64,
-    /// A process is young for so long: it starts empty, and is compared with others that did.
+    /// Time after its start for which a process is compared only with others that started as recently.
     pub warm_s: f64,
-    /// A new process says yes within so long,
+    /// Time within which a new process must be healthy.
     pub start_s: f64,
-    /// and for so long before the old one is told to end.
+    /// Time for which a new process must stay healthy before the old one is stopped.
     pub steady_s: f64,
-    /// The old one ends within so long, else it is killed.
+    /// Time after SIGTERM at which a process that still runs is killed.
     pub end_s: f64,
-    /// The fleet as a whole may do worse than before for so long, in which nothing more is changed.
+    /// Time for which the whole fleet may do worse than before; no front is changed meanwhile.
     pub patience_s: f64,
-    /// A new process that is silent for so long is evidence against it.
+    /// Time without an answer after which a serving process counts as failed.
     pub silent_s: f64,
 }
 
-/// What limits the change.
+/// Stages, and limits of simultaneous changes.
 #[cfg_attr(feature = "rollout", serde(default))]
 pub struct Limits {
-    /// Shares of the fronts that are changed after each stage, ascending to 1. One front is always the first stage.
+    /// Shares of the fronts that are changed after each stage, ascending to 1. A stage of one front always
+    /// precedes them.
     pub stages: Vec<f64>,
-    /// Share of a location's fronts that is in change at once; one is always.
+    /// Share of a location's fronts that may be in change at once, at least one front.
     pub at_once: f64,
-    /// Old fronts that are restarted beside new ones to compare with, at most this share of all; one is always.
+    /// Maximum share of all fronts that are restarted in a stage as controls for its new processes, at least
+    /// one front.
     pub control: f64,
-    /// What a stage takes: fronts spread over locations, or whole locations.
+    /// Whether a stage takes single fronts spread over locations, or whole locations.
     pub by: GroupBy,
-    /// Settings are changed in service, by SIGHUP; for keys that take effect so, and no other program.
+    /// Whether settings are reloaded by SIGHUP; only for keys that take effect on reload, and not with
+    /// another program.
     pub reload: bool,
 }
 
-/// What stops the rollout.
+/// Criteria that stop the rollout.
 #[cfg_attr(feature = "rollout", serde(default))]
 pub struct Gates {
-    /// The chance that a change that is no worse is stopped.
+    /// Probability that a change that is no worse is stopped.
     pub false_stop: f64,
-    /// New fronts end at least so many requests of each class in a stage, before it is judged.
+    /// Requests of each class that new fronts must end in a stage before it can pass.
     pub least_requests: f64,
-    /// Classes of which `least_requests` are not waited for, by place.
+    /// Classes that need not reach `least_requests`, by index.
     pub not_awaited: Vec<usize>,
-    /// New fronts may use so many times the memory, descriptors and processor time of old ones,
+    /// Permitted ratio of the memory, descriptors and processor time of new fronts to those of old ones.
     pub uses_times: f64,
-    /// and more for so long (seconds).
+    /// Time for which the ratio may be exceeded (seconds).
     pub uses_s: f64,
-    /// The share of unserved requests of the whole fleet may rise by so much over what it was before.
+    /// Permitted rise of the whole fleet's share of unserved requests over that before the rollout.
     pub whole: f64,
 }
 
-/// A plan.
+/// A rollout plan.
 pub struct Plan {
-    /// What it is called in the journal and the report.
+    /// Its name in the journal and the report.
     pub name: String,
-    /// What runs.
+    /// The program that runs now.
     pub old: Built,
-    /// What is rolled out.
+    /// The program that is rolled out.
     pub new: Built,
-    /// The fronts.
+    /// All fronts of the rollout.
     pub fronts: Vec<Front>,
-    /// The classes, in the order in which fronts list their figures.
+    /// The classes, in the order in which fronts report their counters.
     pub classes: Vec<String>,
-    /// Spans.
+    /// Durations and timeouts.
     #[cfg_attr(feature = "rollout", serde(default))]
     pub spans: Timeouts,
-    /// Limits.
+    /// Stages, and limits of simultaneous changes.
     #[cfg_attr(feature = "rollout", serde(default))]
     pub limits: Limits,
-    /// What stops it.
+    /// Criteria that stop the rollout.
     #[cfg_attr(feature = "rollout", serde(default))]
     pub gates: Gates,
-    /// Fronts are drawn by this.
+    /// Seed of the random assignment of fronts to stages.
     #[cfg_attr(feature = "rollout", serde(default))]
     pub seed: u64,
 }
 }
 
-/// What a stage takes.
+/// Unit in which a stage takes fronts.
 #[cfg_attr(feature = "rollout", derive(Serialize, Deserialize, JsonSchema), serde(rename_all = "kebab-case"))]
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum GroupBy {
-    /// Fronts of all locations.
+    /// Single fronts, of all locations.
     Front,
-    /// Whole locations, for settings that fronts of one location must have in common.
+    /// Whole locations, for settings that all fronts of a location must share.
     Location,
 }
 
@@ -162,7 +167,7 @@
 }
 
 impl Timeouts {
-    /// Those of one front's change.
+    /// Returns the timeouts of the change of one front.
     pub fn change_timeouts(&self) -> ChangeTimeouts {
         ChangeTimeouts { start_s: self.start_s, steady_s: self.steady_s, end_s: self.end_s, retry_s: 1.0 }
     }
@@ -194,23 +199,24 @@
 }
 
 impl Plan {
-    /// The number of each front's location, by its name, and how many locations there are.
+    /// Returns the number of each front's location, in the order of location names, and the number of
+    /// locations.
     pub fn locations(&self) -> (Vec<usize>, usize) {
         let names: BTreeSet<&String> = self.fronts.iter().map(|f| &f.location).collect();
         let numbers: BTreeMap<&String, usize> = names.into_iter().enumerate().map(|(i, n)| (n, i)).collect();
         (self.fronts.iter().map(|f| numbers[&f.location]).collect(), numbers.len())
     }
 
-    /// The first key that is wrong, and what would be right.
+    /// Validates the plan. The error names the first invalid key and its permitted values.
     pub fn check(&self) -> Result<(), String> {
-        let must = |held: bool, what: &str| if held { Ok(()) } else { Err(what.to_owned()) };
+        let must = |valid: bool, error: &str| if valid { Ok(()) } else { Err(error.to_owned()) };
         must(!self.name.is_empty(), "'name' is empty")?;
-        must((2..=10_000).contains(&self.fronts.len()), "'fronts' are not from 2 to 10000")?;
-        must((1..=64).contains(&self.classes.len()), "'classes' are not from 1 to 64")?;
+        must((2..=10_000).contains(&self.fronts.len()), "the number of 'fronts' is not from 2 to 10000")?;
+        must((1..=64).contains(&self.classes.len()), "the number of 'classes' is not from 1 to 64")?;
         let mut names = BTreeSet::new();
         for (i, front) in self.fronts.iter().enumerate() {
             must(!front.name.is_empty(), &format!("'fronts.{i}.name' is empty"))?;
-            must(names.insert(&front.name), &format!("'fronts.{i}.name' names one a second time"))?;
+            must(names.insert(&front.name), &format!("'fronts.{i}.name' is not unique"))?;
             must(
                 front.new_settings.is_some() || self.old != self.new,
                 &format!("'fronts.{i}.new_settings' is missing, and 'old' and 'new' are the same"),
@@ -232,15 +238,15 @@
             ("silent_s", s.silent_s, 2.0 * s.window_s),
         ];
         for (key, value, least) in spans {
-            let held = value.is_finite() && (least..=1e6).contains(&value);
-            must(held, &format!("'spans.{key}' is not from {least} to 1000000 seconds"))?;
+            let valid = value.is_finite() && (least..=1e6).contains(&value);
+            must(valid, &format!("'spans.{key}' is not from {least} to 1000000 seconds"))?;
         }
         let l = &self.limits;
-        let shares = !l.stages.is_empty()
+        let valid_shares = !l.stages.is_empty()
             && l.stages.windows(2).all(|w| w[0] < w[1])
             && l.stages[0] > 0.0
             && l.stages[l.stages.len() - 1] == 1.0;
-        must(shares, "'limits.stages' are not shares that ascend from above 0 to 1")?;
+        must(valid_shares, "'limits.stages' are not shares above 0 that ascend to 1")?;
         for (key, value) in [("at_once", l.at_once), ("control", l.control)] {
             must(value > 0.0 && value <= 1.0, &format!("'limits.{key}' is not above 0 and at most 1"))?;
         }
@@ -250,29 +256,32 @@
         must((1.05..=100.0).contains(&g.uses_times), "'gates.uses_times' is not from 1.05 to 100")?;
         must((0.0..=1e6).contains(&g.uses_s), "'gates.uses_s' is not from 0 to 1000000")?;
         must((0.001..=1.0).contains(&g.whole), "'gates.whole' is not from 0.001 to 1")?;
-        let reloads =
+        let valid_reload =
             !l.reload || self.old == self.new && self.fronts.iter().all(|f| f.new_settings.is_some());
-        must(reloads, "'limits.reload' is for new settings alone, of every front")?;
-        let class = g.not_awaited.iter().position(|c| *c >= self.classes.len());
-        must(class.is_none(), "'gates.not_awaited' names none of 'classes'")
+        must(
+            valid_reload,
+            "'limits.reload' requires 'new_settings' for every front, and 'old' and 'new' to be the same",
+        )?;
+        let unknown_class = g.not_awaited.iter().position(|c| *c >= self.classes.len());
+        must(unknown_class.is_none(), "'gates.not_awaited' holds an index beyond those of 'classes'")
     }
 }
 
-/// How a changed setting may be rolled out.
+/// Whether fronts with different values of a setting may run side by side, and how the setting is changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MixingRule {
-    /// In service, by SIGHUP; old and new side by side.
+    /// Changed by SIGHUP; old and new values may run side by side.
     Reload,
-    /// By replacement; old and new side by side.
+    /// Changed by replacing the process; old and new values may run side by side.
     Mixed,
-    /// Fronts of one location must have the same: whole locations at once, so that objects keep one home and budgets
-    /// that fronts share add up.
+    /// Fronts of one location must have the same value, so that each object has one home and budgets that
+    /// fronts share add up; whole locations are changed at once.
     AtOnce,
-    /// Not at all: it is who the front is, or where its clients reach it.
+    /// Cannot be rolled out: it identifies the front or is the address at which clients reach it.
     Never,
 }
 
-/// What a change of a settings key allows. Keys are written with dots, as a reload tells them.
+/// Returns how a settings key may be rolled out. Keys are dotted paths, as a reload reports them.
 pub fn mixing(key: &str) -> MixingRule {
     let under = |names: &[&str]| {
         names.iter().any(|n| key == *n || key.strip_prefix(n).is_some_and(|rest| rest.starts_with('.')))
@@ -283,8 +292,8 @@
     if under(&["coordinator", "xds.server", "xds.refresh_s", "limits.memory_mb", "memory"]) {
         return MixingRule::Reload;
     }
-    // What one front does by itself; all else of `settings` decides where objects are at home, what a cold node
-    // bears from all, or what a class permits.
+    // These affect one front alone. The rest of `settings` decides which node is an object's home, what load
+    // a cold node gets from all fronts, or what a class permits.
     if under(&["admin_addr", "limits", "signed", "xds", "teams", "settings.caps", "settings.prices"]) {
         return MixingRule::Mixed;
     }
@@ -295,7 +304,7 @@
 pub mod tests {
     use super::*;
 
-    /// A plan of so many fronts in so many locations.
+    /// Returns a valid plan with this many fronts and locations.
     pub fn plan(fronts: usize, locations: usize) -> Plan {
         let built =
             |name: &str| Built { program: PathBuf::from(name), variables: std::collections::BTreeMap::new() };
@@ -321,7 +330,7 @@
     }
 
     #[test]
-    fn an_error_names_its_key() {
+    fn an_invalid_plan_is_rejected_with_its_key() {
         assert_eq!(plan(6, 2).check(), Ok(()));
         type Change = fn(&mut Plan);
         let wrong: [(&str, Change); 8] = [
@@ -343,7 +352,7 @@
     }
 
     #[test]
-    fn settings_that_fronts_share_are_not_mixed() {
+    fn each_settings_key_has_its_mixing_rule() {
         for (key, how) in [
             ("limits.memory_mb", MixingRule::Reload),
             ("coordinator", MixingRule::Reload),
--- a/src/rollout/readings.rs
+++ b/src/rollout/readings.rs
@@ -1,26 +1,27 @@
-//! What fronts tell of themselves: counts since the start of their process, and what a span between two readings adds.
+//! Counters that fronts report since the start of their process, and the increments between two readings.
 
-/// Counts of one class since the start of a process.
+/// Counters of one class since the start of a process.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Requests served, refused and failed, and attempts written to cache nodes.
+    /// Requests served.
     pub served: u64,
-    /// Refused.
+    /// Requests refused.
     pub busy: u64,
-    /// Failed.
+    /// Requests failed.
     pub failed: u64,
-    /// Attempts.
+    /// Attempts written to cache nodes.
     pub calls: u64,
-    /// Of the served ones, those later than the class aims for.
+    /// Requests served later than the aim of the class; they are included in `served`.
     pub slow: u64,
 }
 
 impl Counts {
-    /// Requests that ended.
+    /// Returns the requests that ended.
     pub fn asked(&self) -> u64 {
         self.served + self.busy + self.failed
     }
 
+    /// Returns the increments since an earlier reading, or `None` if a counter went back.
     fn since(&self, before: &Counts) -> Option<Counts> {
         Some(Counts {
             served: self.served.checked_sub(before.served)?,
@@ -32,63 +33,64 @@
     }
 }
 
-/// What one process was read to have at a time.
+/// Counters and resource usage of one process at one time.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Reading {
-    /// Which process, by its number.
+    /// Number of the process.
     pub run: u32,
-    /// By class.
+    /// Counters by class.
     pub classes: Vec<Counts>,
-    /// Resident memory (KB) and open descriptors; 0 where nobody can see them.
+    /// Resident memory (KB); 0 where it cannot be read.
     pub memory_kb: u64,
-    /// Open descriptors.
+    /// Open descriptors; 0 where they cannot be read.
     pub descriptors: u64,
     /// Processor time (seconds).
     pub processor_s: f64,
 }
 
-/// What came between two readings.
+/// Increments between two readings.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Delta {
-    /// Seconds.
+    /// Time between the readings (seconds).
     pub span: f64,
-    /// By class.
+    /// Increments by class.
     pub classes: Vec<Counts>,
-    /// Processor time over the span, in seconds a second.
+    /// Mean processor usage over the span (cores).
     pub processor: f64,
 }
 
 impl Delta {
-    /// This span and the one that follows it as one. Where they tell of other classes, the later one counts.
-    pub fn merge(mut self, more: Delta) -> Delta {
-        if self.classes.len() != more.classes.len() {
-            return more;
+    /// Merges this span with the next one. If their numbers of classes differ, only the later one counts.
+    pub fn merge(mut self, next: Delta) -> Delta {
+        if self.classes.len() != next.classes.len() {
+            return next;
         }
-        for (a, b) in self.classes.iter_mut().zip(&more.classes) {
+        for (a, b) in self.classes.iter_mut().zip(&next.classes) {
             a.served += b.served;
             a.busy += b.busy;
             a.failed += b.failed;
             a.calls += b.calls;
             a.slow += b.slow;
         }
-        let span = self.span + more.span;
-        self.processor = (self.processor * self.span + more.processor * more.span) / span;
+        let span = self.span + next.span;
+        self.processor = (self.processor * self.span + next.processor * next.span) / span;
         self.span = span;
         self
     }
 }
 
-/// The readings of one front, one after the other.
+/// Consecutive readings of one front.
 #[derive(Debug, Clone, Default)]
 pub struct Series {
     last: Option<(f64, Reading)>,
-    /// When a process was first read.
+    /// When the present process was first read.
     run_since: f64,
 }
 
 impl Series {
-    /// Takes a reading and gives what came since the last. Counts of a process that is new start at 0. None where a
-    /// span was not seen: the first reading, one that comes more than `stale` after the last, counts that went back.
+    /// Adds a reading and returns the increments since the last. The counters of a new process start at 0.
+    /// Returns `None` for the first reading, one more than `stale` seconds after the last, and one whose
+    /// counters went back.
     pub fn push(&mut self, now: f64, reading: Reading, stale: f64) -> Option<Delta> {
         let before = self.last.replace((now, reading.clone()));
         if before.as_ref().is_none_or(|(_, b)| b.run != reading.run) {
@@ -108,17 +110,17 @@
         Some(Delta { span, classes: classes.collect::<Option<_>>()?, processor })
     }
 
-    /// The last reading, if it is not older than `stale`.
+    /// Returns the last reading, if it is not older than `stale` seconds.
     pub fn latest(&self, now: f64, stale: f64) -> Option<&Reading> {
         self.last.as_ref().filter(|(at, _)| now - at <= stale).map(|(_, reading)| reading)
     }
 
-    /// For how long the present process has been read (seconds).
+    /// Returns for how long the present process has been read (seconds).
     pub fn age(&self, now: f64) -> f64 {
         now - self.run_since
     }
 
-    /// The next reading follows on nothing: a span was not seen.
+    /// Drops the last reading after a span without observations, so that the next one yields no increments.
     pub fn reset(&mut self) {
         self.last = None;
     }
@@ -133,7 +135,7 @@
     }
 
     #[test]
-    fn counts_go_on_over_a_replacement_and_a_gap_is_no_evidence() {
+    fn increments_span_a_process_replacement_but_no_gap() {
         let mut series = Series::default();
         let served = |d: Option<Delta>| d.map(|d| d.classes[0].served);
         assert_eq!(served(series.push(10.0, reading(1, 500), 3.0)), None, "the first");
--- a/src/rollout/records.rs
+++ b/src/rollout/records.rs
@@ -1,111 +1,112 @@
-//! What a rollout keeps in its journal, what it wants done, and what it is told by operators and by a look at the processes.
+//! Records of a rollout's journal, its actions, operators' commands, and the processes found at a start.
 
 use super::change::{Health, ProcessCommand, ProcessEvent, Run};
 use super::usage::UsageBaseline;
 
-/// What an operator says.
+/// A command of an operator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[cfg_attr(feature = "rollout", derive(serde::Serialize, serde::Deserialize))]
 pub enum OperatorCommand {
-    /// Nothing more is changed until `Resume`; what is under way is finished, and what is worse still goes back.
+    /// Starts no change until `Resume`; changes in progress are finished, and a worse release is still rolled
+    /// back.
     Pause,
-    /// Goes on.
+    /// Continues after `Pause`.
     Resume,
-    /// Back to the old side everywhere.
+    /// Rolls all fronts back to the old release.
     Abort,
 }
 
-/// How it ended.
+/// How a rollout ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[cfg_attr(feature = "rollout", derive(serde::Serialize, serde::Deserialize))]
 pub enum Outcome {
-    /// All fronts run the new side.
+    /// All fronts run the new release.
     Done,
-    /// The gate stopped it; all run the old side.
+    /// The controller stopped it; all fronts run the old release.
     Stopped,
-    /// An operator called it back; all run the old side.
+    /// An operator aborted it; all fronts run the old release.
     Aborted,
-    /// Some could not be brought back.
+    /// Some fronts could not be rolled back.
     Failed,
 }
 
-/// What the journal keeps.
+/// A record of the journal.
 #[derive(Debug, Clone, PartialEq)]
 #[cfg_attr(feature = "rollout", derive(serde::Serialize, serde::Deserialize))]
 pub enum Record {
-    /// The rollout of this name, over so many fronts.
+    /// The rollout began.
     Began {
-        /// Of the plan.
+        /// Name of the plan.
         name: String,
-        /// Of the plan.
+        /// Number of fronts.
         fronts: usize,
     },
-    /// The stages, and what share of requests was not served before, by class.
+    /// The baseline was taken and the stages were drawn.
     Staged {
-        /// Fronts and their controls, by stage.
+        /// Fronts to be changed and control fronts, by stage.
         stages: Vec<(Vec<usize>, Vec<usize>)>,
-        /// By class.
+        /// Share of requests that were not served before the rollout, by class.
         base: Vec<f64>,
-        /// What old fronts used before, by location; a journal of an earlier build has none.
+        /// Usage of old fronts before the rollout, by location; absent in journals of earlier builds.
         #[cfg_attr(feature = "rollout", serde(default))]
         usage: Vec<UsageBaseline>,
     },
     /// A stage begins.
     Stage(usize),
-    /// A front's process is about to be told.
+    /// A command to a front's process is about to be carried out.
     Ordered {
-        /// Which.
+        /// Index of the front.
         front: usize,
-        /// What.
+        /// The command.
         order: ProcessCommand,
     },
-    /// What came of a front's change.
+    /// A step of a front's change had an outcome.
     Noticed {
-        /// Which.
+        /// Index of the front.
         front: usize,
-        /// What.
+        /// The outcome.
         notice: ProcessEvent,
     },
-    /// A stage was judged no worse.
+    /// A stage passed the gate.
     Passed(usize),
-    /// The whole does worse than before, in this class: nothing more is changed for now.
+    /// The whole fleet does worse than before in this class: changes are paused.
     #[cfg_attr(feature = "rollout", serde(alias = "Held"))]
     Paused(usize),
-    /// It does as well as before again.
+    /// The whole fleet does as well as before again: changes continue.
     #[cfg_attr(feature = "rollout", serde(alias = "Freed"))]
     Resumed,
-    /// An operator spoke.
+    /// An operator's command took effect.
     #[cfg_attr(feature = "rollout", serde(alias = "Said"))]
     CommandReceived(OperatorCommand),
-    /// The fronts go back.
+    /// The rollback began.
     #[cfg_attr(feature = "rollout", serde(alias = "Back"))]
     RollbackStarted {
-        /// Why.
+        /// Reason of the rollback.
         why: String,
-        /// An operator called it back.
+        /// Whether an operator aborted the rollout.
         aborted: bool,
     },
-    /// A front could not be brought back.
+    /// A front could not be rolled back.
     #[cfg_attr(feature = "rollout", serde(alias = "Stuck"))]
     RollbackFailed(usize),
-    /// It is over.
+    /// The rollout ended.
     Ended(Outcome),
 }
 
-/// What is to be done: a record is kept before what follows it.
+/// An action for the caller: a record must be on disk before the actions that follow it are carried out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Keep this.
+    /// Append a record to the journal.
     Keep(Record),
-    /// Tell a front's process.
+    /// Carry out a command on a process of the front with this index.
     Tell(usize, ProcessCommand),
 }
 
-/// What was found of a front at a start: its processes, the oldest first, and the first number that none ever had.
+/// Processes of a front found when the controller starts.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Found {
-    /// Number and answer of each.
+    /// Number and health of each process, the oldest first.
     pub runs: Vec<(Run, Health)>,
-    /// The first free number.
+    /// The first number that no process has had.
     pub next: Run,
 }
--- a/src/rollout/stages.rs
+++ b/src/rollout/stages.rs
@@ -1,29 +1,30 @@
-//! Which fronts a stage takes: spread over locations and over busy and quiet ones, so that it is comparable with what
-//! stays; and which old ones are restarted beside them.
+//! Assigns fronts to stages, spread over locations and loads so that changed fronts are comparable with the
+//! others, and selects the old fronts that are restarted as controls.
 
 use super::plan::GroupBy;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// A front as a stage sees it.
+/// Properties of a front by which it is assigned to a stage.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Placement {
-    /// Its location, by number.
+    /// Number of its location.
     pub location: usize,
-    /// Requests a second that it ended before anything changed.
+    /// Requests per second that it ended before anything changed.
     pub rate: f64,
 }
 
-/// A stage: the fronts that go over to the new side, and the old ones that start anew with them.
+/// Fronts of a stage.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Stage {
-    /// Over to the new side.
+    /// Fronts that change to the new release.
     pub fronts: Vec<usize>,
-    /// Old ones, restarted.
+    /// Old fronts that are restarted, so that new processes are compared with old ones of the same age.
     pub control: Vec<usize>,
 }
 
-/// The stages: one front, then the shares. Each front is in one. Within a location the order goes through the fronts
-/// by load from a drawn start in steps that leave no gap, so that every prefix has busy and quiet ones.
+/// Returns the stages: one front first, then up to each of `shares`; every front is in one stage. Within a
+/// location, fronts sorted by load are visited in bit-reversed order from a random start, so that every
+/// prefix mixes loads.
 pub fn stages(placements: &[Placement], shares: &[f64], control: f64, by: GroupBy, seed: u64) -> Vec<Stage> {
     let locations = placements.iter().map(|s| s.location + 1).max().unwrap_or(0);
     let draw = |n: usize| xxh3_64_with_seed(&(n as u64).to_le_bytes(), seed);
@@ -45,7 +46,8 @@
         order.extend(queues.iter().flatten().copied());
     } else {
         let longest = queues.iter().map(Vec::len).max().unwrap_or(0);
-        // Longer queues give more often, so that every prefix takes the same share of each.
+        // Queues are interleaved in proportion to their length, so that every prefix holds the same share of
+        // each.
         for step in 0..longest {
             for q in &queues {
                 let quota = |step: usize| (step * q.len()).div_ceil(longest);
@@ -58,7 +60,7 @@
         shares.iter().map(|s| ((s * placements.len() as f64).round() as usize).clamp(1, placements.len())),
     );
     if by_location {
-        // Up to the end of the location in which the share ends.
+        // A stage extends to the end of the location in which its share ends.
         let mut sum = 0;
         let bounds: Vec<usize> = queues
             .iter()
@@ -71,11 +73,11 @@
     }
     ends.dedup();
     let max_controls = ((control * placements.len() as f64) as usize).max(1);
-    let mut made: Vec<Stage> = Vec::new();
+    let mut stages: Vec<Stage> = Vec::new();
     let mut from = 0;
     for &end in &ends {
         let fronts = order[from..end].to_vec();
-        // Those that come last in any case, of the same location and the nearest load.
+        // A control is a front of a later stage, of the same location and with the nearest load.
         let mut candidates: Vec<usize> = order[end..].to_vec();
         let mut control = Vec::new();
         for &f in fronts.iter().take(max_controls) {
@@ -87,17 +89,18 @@
             candidates.retain(|&i| i != next);
             control.push(next);
         }
-        made.push(Stage { fronts, control });
+        stages.push(Stage { fronts, control });
         from = end;
     }
-    made
+    stages
 }
 
-/// The order in which halves, quarters and so on of a sorted list are visited, from a drawn place on.
-fn bit_reversed_order(sorted: &[usize], drawn: usize) -> Vec<usize> {
+/// Returns a sorted list in bit-reversed order of its indices (halves, quarters and so on), rotated by
+/// `offset`.
+fn bit_reversed_order(sorted: &[usize], offset: usize) -> Vec<usize> {
     let bits = sorted.len().next_power_of_two().trailing_zeros();
     let reversed = |i: usize| if bits == 0 { 0 } else { i.reverse_bits() >> (usize::BITS - bits) };
-    let at = |i: usize| (reversed(i) + drawn) % sorted.len().next_power_of_two();
+    let at = |i: usize| (reversed(i) + offset) % sorted.len().next_power_of_two();
     (0..1usize << bits).map(at).filter_map(|i| sorted.get(i).copied()).collect()
 }
 
@@ -107,9 +110,12 @@
     use proptest::prelude::*;
 
     proptest! {
-        #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
+        #![proptest_config(ProptestConfig {
+            rng_seed: proptest::test_runner::RngSeed::Fixed(7),
+            ..ProptestConfig::default()
+        })]
         #[test]
-        fn every_front_is_in_one_stage_and_stages_are_comparable_with_what_stays(
+        fn every_front_is_in_one_stage_and_stages_take_equal_shares_of_locations(
             counts in prop::collection::vec(1usize..60, 1..5),
             seed in any::<u64>(),
             by_location in any::<bool>(),
@@ -143,9 +149,9 @@
         }
     }
 
-    /// Guards a first front that is always of the largest location.
+    /// Guards against a first front that is always of the largest location.
     #[test]
-    fn the_first_front_is_of_any_location() {
+    fn the_first_front_can_be_of_any_location() {
         let placements: Vec<Placement> = (0..100).map(|i| Placement { location: i % 3, rate: 1.0 }).collect();
         let first =
             |seed| placements[stages(&placements, &[1.0], 0.2, GroupBy::Front, seed)[0].fronts[0]].location;
@@ -154,7 +160,7 @@
     }
 
     #[test]
-    fn a_prefix_has_busy_and_quiet_fronts() {
+    fn a_prefix_mixes_fronts_of_high_and_low_load() {
         let placements: Vec<Placement> =
             (0..64).map(|i| Placement { location: 0, rate: f64::from(i) }).collect();
         for seed in 0..20 {
--- a/src/rollout/usage.rs
+++ b/src/rollout/usage.rs
@@ -1,37 +1,38 @@
-//! Compares what new fronts use of memory, descriptors and processor time with what old ones use.
+//! Compares the memory, descriptors and processor time of new fronts with those of old ones.
 //!
-//! A new front is compared with the old fronts of its location and age: with those that run beside it or, where none is
-//! left, with the most that such fronts used before, raised by as much as the load has grown since. A front that cannot be
-//! compared at the moment keeps what is known of it: a gap in the readings is no sign that it uses less.
+//! A new front is compared with old fronts of its location and age: with those that run at the same time or,
+//! where none is left, with the most that such fronts used earlier, scaled by the growth of the load since. A
+//! front that cannot be compared at the moment keeps its state: a gap in the readings does not mean that it
+//! uses less.
 
 use super::change::Run;
 use super::plan::Gates;
 use super::window::{Cohort, Measure, Window};
 use std::collections::BTreeMap;
 
-/// Resources that are compared.
+/// Number of resources that are compared.
 const RESOURCE_COUNT: usize = 3;
 
-/// A resource, and the least difference that counts as one whatever it is a multiple of.
+/// A resource, and the smallest difference that counts whatever its ratio.
 struct Resource {
     measure: Measure,
     min_difference: f64,
 }
 
-/// In the order of `Window::uses`: kilobytes, descriptors, share of a core.
+/// Resources in the order of `Window::uses`, in kilobytes, descriptors and cores.
 const COMPARED_RESOURCES: [Resource; RESOURCE_COUNT] = [
     Resource { measure: Measure::Memory, min_difference: 8_192.0 },
     Resource { measure: Measure::Descriptors, min_difference: 32.0 },
     Resource { measure: Measure::Processor, min_difference: 0.05 },
 ];
 
-/// The most that old fronts used, and the load under which they did.
+/// Peak usage of old fronts, and the load at that time.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 #[cfg_attr(feature = "rollout", derive(serde::Serialize, serde::Deserialize))]
 pub struct UsageBaseline {
-    /// In the order of `Window::uses`.
+    /// Usage in the order of `Window::uses`.
     pub uses: [f64; RESOURCE_COUNT],
-    /// Requests a second of a front, in the mean over a location.
+    /// Mean requests per second of a front of the location.
     pub load: f64,
 }
 
@@ -43,37 +44,39 @@
         self.load = self.load.max(other.load);
     }
 
-    /// What the same fronts may be expected to use under another load: more under more, and no less under less.
+    /// Returns the usage to be expected under another load: scaled up under a higher load, unchanged under a
+    /// lower one.
     fn scaled_to(&self, load: f64) -> [f64; RESOURCE_COUNT] {
         let growth = if self.load > 0.0 { (load / self.load).max(1.0) } else { 1.0 };
         self.uses.map(|used| used * growth)
     }
 }
 
-/// A new front uses too much.
+/// Usage of a new front above the permitted ratio.
 #[derive(Debug, Clone, Copy)]
 struct Excess {
     since: f64,
-    /// How many times as much as old fronts, as last compared.
+    /// Ratio to the usage of old fronts, as last compared.
     ratio: f64,
 }
 
-/// What is known of a new front's process.
+/// Comparison of one new front's process.
 #[derive(Debug, Clone)]
 struct FrontUsage {
     run: Run,
     location: usize,
-    /// When it was first compared.
+    /// When the process was first compared.
     since: f64,
-    /// It was compared in the present stage.
+    /// Whether the front was compared in the current stage.
     in_stage: bool,
     excess: [Option<Excess>; RESOURCE_COUNT],
 }
 
-/// The comparison over a whole rollout.
+/// Comparison of resource usage over a rollout.
 #[derive(Debug, Clone)]
 pub struct UsageComparison {
-    /// New fronts may use so many times as much as old ones, and more for so long (seconds).
+    /// Permitted ratio of new fronts' usage to that of old ones, and the time for which it may be exceeded
+    /// (seconds).
     max_ratio: f64,
     grace_s: f64,
     earlier_baselines: BTreeMap<Cohort, UsageBaseline>,
@@ -81,13 +84,14 @@
 }
 
 impl UsageComparison {
-    /// With the bounds of a plan.
+    /// Creates the comparison with the bounds of a plan.
     pub fn new(gates: &Gates) -> UsageComparison {
         let (earlier_baselines, fronts) = (BTreeMap::new(), BTreeMap::new());
         UsageComparison { max_ratio: gates.uses_times, grace_s: gates.uses_s, earlier_baselines, fronts }
     }
 
-    /// The most that old fronts of any age used, by location: what a later start goes on from.
+    /// Returns the peak usage of old fronts of any age by location, from which a restarted controller
+    /// continues.
     pub fn baselines(&self, locations: usize) -> Vec<UsageBaseline> {
         let mut found = vec![UsageBaseline::default(); locations];
         for (cohort, baseline) in &self.earlier_baselines {
@@ -96,7 +100,8 @@
         found
     }
 
-    /// Takes over what an earlier start saw. A location without a baseline was not seen.
+    /// Restores the baselines of an earlier run. The default baseline stands for a location without
+    /// observations.
     pub fn restore(&mut self, baselines: &[UsageBaseline]) {
         for (location, baseline) in baselines.iter().enumerate() {
             if *baseline != UsageBaseline::default() {
@@ -105,12 +110,12 @@
         }
     }
 
-    /// A stage begins: every front is to be compared again.
+    /// Begins a stage, in which every front must be compared again.
     pub fn begin_stage(&mut self) {
         self.fronts.values_mut().for_each(|front| front.in_stage = false);
     }
 
-    /// Nobody looked for so long: that time counts for nothing.
+    /// Excludes a span without observations (seconds).
     pub fn exclude_gap(&mut self, gap: f64) {
         for front in self.fronts.values_mut() {
             front.since += gap;
@@ -118,7 +123,7 @@
         }
     }
 
-    /// What all fronts used over the same window.
+    /// Adds what all fronts used over the same window.
     pub fn observe(&mut self, now: f64, windows: &[Window]) {
         let mean_loads = mean_loads(windows);
         let beside = usage_of_old_fronts(windows, &mean_loads);
@@ -161,8 +166,8 @@
         }
     }
 
-    /// The first resource of which half of a location's new fronts have used too much for too long, and how many times
-    /// as much as old fronts the middle one of these uses.
+    /// Returns the first resource of which half of a location's new fronts have used too much for too long,
+    /// and the median ratio of these fronts.
     pub fn exceeded(&self, now: f64) -> Option<(Measure, f64)> {
         self.groups(now).find_map(|group| {
             let too_long = |excess: &&Excess| now - excess.since >= self.grace_s;
@@ -173,20 +178,22 @@
         })
     }
 
-    /// The first resource of which half of a location's new fronts use too much now, though not yet for long.
+    /// Returns the first resource of which half of a location's new fronts use too much now, for however
+    /// short a time.
     pub fn undecided(&self, now: f64) -> Option<Measure> {
         let mut groups = self.groups(now);
         let over = groups.find(|group| group.is_at_least_half(group.excesses().count()));
         over.map(|group| COMPARED_RESOURCES[group.resource].measure)
     }
 
-    /// Were at least half of these fronts compared in this stage?
+    /// Returns whether at least half of these fronts were compared in this stage.
     pub fn is_compared(&self, fronts: &[usize]) -> bool {
         let compared = |front: &&usize| self.fronts.get(front).is_some_and(|f| f.in_stage);
         fronts.iter().filter(compared).count() * 2 >= fronts.len()
     }
 
-    /// The new fronts of each location, those that have been compared for long apart from the others, by resource.
+    /// Groups new fronts by location, by whether they have been compared for the whole grace time, and by
+    /// resource.
     fn groups(&self, now: f64) -> impl Iterator<Item = Group<'_>> {
         let mut members: BTreeMap<(usize, bool), Vec<&FrontUsage>> = BTreeMap::new();
         for front in self.fronts.values() {
@@ -199,7 +206,7 @@
     }
 }
 
-/// New fronts of one location with one resource.
+/// New fronts of one location, and one resource.
 struct Group<'a> {
     seen_for_long: bool,
     resource: usize,
@@ -216,7 +223,7 @@
     }
 }
 
-/// Requests a second of a front, in the mean, by location.
+/// Returns the mean requests per second of a front, by location.
 fn mean_loads(windows: &[Window]) -> BTreeMap<usize, f64> {
     let mut sums: BTreeMap<usize, (f64, f64)> = BTreeMap::new();
     for window in windows {
@@ -229,7 +236,7 @@
         .collect()
 }
 
-/// The most that old fronts use in this window.
+/// Returns the peak usage of old fronts in this window, by cohort.
 fn usage_of_old_fronts(
     windows: &[Window],
     mean_loads: &BTreeMap<usize, f64>,
--- a/src/rollout/usage/tests.rs
+++ b/src/rollout/usage/tests.rs
@@ -1,10 +1,10 @@
-//! The comparison over windows of a second.
+//! Tests of the usage comparison with windows of one second.
 
 use super::*;
 
 const KB: f64 = 1_000.0;
 
-/// A front of one location, at eight requests a second.
+/// Returns the window of a front of one location, at eight requests per second.
 fn window(front: usize, new: bool, young: bool, memory_kb: f64) -> Window {
     let sums = vec![super::super::window::ClassCounts { requests: 8.0, ..Default::default() }];
     Window { front, run: 1, span: 1.0, location: 0, new, young, sums, uses: [memory_kb, 40.0, 0.1] }
@@ -14,15 +14,16 @@
     UsageComparison::new(&Gates::default())
 }
 
-/// The rollout `a_build_that_leaks_is_stopped` ended as done in one run of four: the front's memory was over its bound,
-/// and the bound on how long began anew whenever no old front of its age was there to compare with.
+/// Guards against a leak that is never stopped: the grace time restarted whenever no old front of the new
+/// front's age was there to compare with, and one run of four of `a_build_that_leaks_is_stopped` ended as
+/// done.
 #[test]
-fn a_gap_in_what_can_be_compared_does_not_begin_the_time_anew() {
+fn a_gap_in_comparisons_does_not_restart_the_grace_time() {
     let mut usage = comparison();
     for second in 0..10 {
         let now = f64::from(second);
         let old = window(1, false, true, 12.0 * KB);
-        // Every third second there is no old front of its age, or no reading of its own.
+        // In two seconds of three the front has no comparable old front, or no reading of its own.
         match second % 3 {
             0 => usage.observe(now, &[window(0, true, true, 40.0 * KB), old]),
             1 => usage.observe(now, &[window(0, true, false, 40.0 * KB), window(1, false, true, 12.0 * KB)]),
@@ -35,7 +36,7 @@
 }
 
 #[test]
-fn without_old_fronts_new_ones_are_compared_with_those_before() {
+fn without_old_fronts_new_ones_are_compared_with_the_baseline() {
     let mut usage = comparison();
     for second in 0..5 {
         usage.observe(
@@ -51,9 +52,9 @@
     assert!(matches!(usage.exceeded(29.0), Some((Measure::Memory, _))));
 }
 
-/// Half as many requests again take half as much again of everything, and are no harm.
+/// Guards against a false stop when usage grows in proportion to the load.
 #[test]
-fn fronts_before_are_taken_at_the_load_of_now() {
+fn the_baseline_is_scaled_to_the_present_load() {
     let mut usage = comparison();
     usage.observe(0.0, &[window(0, false, false, 40.0 * KB)]);
     for second in 1..30 {
@@ -66,11 +67,11 @@
 }
 
 #[test]
-fn what_was_never_compared_is_not_taken_for_good() {
+fn a_front_that_was_never_compared_does_not_pass() {
     let mut usage = comparison();
     usage.observe(0.0, &[window(0, false, false, 12.0 * KB), window(1, false, false, 12.0 * KB)]);
     usage.begin_stage();
-    // It is young, and no old front ever was.
+    // The new front is young, and no old front has been young.
     usage.observe(1.0, &[window(0, true, true, 12.0 * KB), window(1, false, false, 12.0 * KB)]);
     assert!(!usage.is_compared(&[0]));
     usage.observe(2.0, &[window(0, true, false, 12.0 * KB), window(1, false, false, 12.0 * KB)]);
@@ -80,7 +81,7 @@
 }
 
 #[test]
-fn one_front_of_three_that_uses_more_is_no_evidence() {
+fn one_front_of_three_over_the_bound_does_not_stop() {
     let mut usage = comparison();
     for second in 0..30 {
         let new = |front, kb| window(front, true, false, kb);
@@ -92,7 +93,7 @@
 }
 
 #[test]
-fn time_in_which_nobody_looked_and_another_process_begin_anew() {
+fn the_grace_time_excludes_gaps_and_restarts_with_the_process() {
     let mut usage = comparison();
     let old = || window(1, false, false, 12.0 * KB);
     usage.observe(0.0, &[window(0, true, false, 40.0 * KB), old()]);
@@ -106,7 +107,7 @@
 }
 
 #[test]
-fn a_later_start_goes_on_from_the_baseline() {
+fn restored_baselines_are_compared_with() {
     let mut first = comparison();
     first.observe(0.0, &[window(0, false, false, 12.0 * KB)]);
     let mut second = comparison();
--- a/src/rollout/window.rs
+++ b/src/rollout/window.rs
@@ -1,17 +1,17 @@
-//! What one front did and used over a window, and with which fronts it is compared.
+//! Counts and resource usage of one front over a window, and the cohort in which it is compared.
 
 use super::change::Run;
 
-/// What is compared.
+/// A measure by which releases are compared.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[cfg_attr(feature = "rollout", derive(serde::Serialize, serde::Deserialize))]
 #[cfg_attr(feature = "rollout", serde(rename_all = "kebab-case"))]
 pub enum Measure {
-    /// Requests refused or failed, of those that ended.
+    /// Requests refused or failed, out of those that ended.
     Unserved,
-    /// Attempts beyond one a request.
+    /// Attempts beyond the first of each request.
     Retries,
-    /// Requests served later than their class aims for, of those that ended.
+    /// Requests served later than the aim of their class, out of those that ended.
     Slow,
     /// Resident memory.
     Memory,
@@ -26,15 +26,16 @@
 pub struct ClassCounts {
     /// Requests that ended.
     pub requests: f64,
-    /// Of these refused or failed.
+    /// Requests refused or failed.
     pub unserved: f64,
-    /// Attempts beyond one a request.
+    /// Attempts beyond the first of each request.
     pub retries: f64,
-    /// Served, but late.
+    /// Requests served later than the aim of the class.
     pub slow: f64,
 }
 
 impl ClassCounts {
+    /// Returns the count of a measure by class.
     pub(super) fn count(&self, measure: Measure) -> f64 {
         match measure {
             Measure::Retries => self.retries,
@@ -44,28 +45,28 @@
     }
 }
 
-/// What one front did in a window.
+/// Observations of one front over a window.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Window {
-    /// Which front, and its process.
+    /// Index of the front.
     pub front: usize,
-    /// Its process.
+    /// Number of its serving process.
     pub run: Run,
-    /// Seconds that the window covers.
+    /// Time that the window covers (seconds).
     pub span: f64,
-    /// Where, and whether it runs the new side.
+    /// Number of its location.
     pub location: usize,
-    /// It runs what is rolled out.
+    /// Whether it runs the new release.
     pub new: bool,
-    /// Its process started lately.
+    /// Whether its process started recently (see `warm_s` of the plan).
     pub young: bool,
-    /// By class.
+    /// Counts by class.
     pub sums: Vec<ClassCounts>,
-    /// Memory, descriptors and processor time as last read.
+    /// Memory (KB), descriptors and processor usage (cores), as last read.
     pub uses: [f64; 3],
 }
 
-/// Fronts that are compared with each other: those of one location and age.
+/// Group of fronts that are compared with each other: those of one location and age.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Cohort {
     pub(super) location: usize,
@@ -73,12 +74,12 @@
 }
 
 impl Window {
-    /// With whom the front is compared.
+    /// Returns the cohort in which the front is compared.
     pub(super) fn cohort(&self) -> Cohort {
         Cohort { location: self.location, young: self.young }
     }
 
-    /// Counts of a class; a front that tells of fewer classes had none.
+    /// Returns the counts of a class, which are zero for a class that the front does not report.
     pub(super) fn class_counts(&self, class: usize) -> ClassCounts {
         self.sums.get(class).copied().unwrap_or_default()
     }
