--- a/src/rollout/change.rs
+++ b/src/rollout/change.rs
@@ -304,7 +304,7 @@
     }
 
     /// Handles an observation of one of the front's processes; appends the commands and events that result.
-    pub fn handle_event(
+    pub fn handle_observation(
         &mut self,
         now: f64,
         event: Event,
--- a/src/rollout/controller/mod.rs
+++ b/src/rollout/controller/mod.rs
@@ -248,7 +248,7 @@
             self.fronts[front].reported_health = Some(health);
         }
         self.update_front(now, front, |change, commands, events| {
-            change.handle_event(now, event, commands, events)
+            change.handle_observation(now, event, commands, events)
         });
     }
 
