--- a/src/rollout/controller/crashes.rs
+++ b/src/rollout/controller/crashes.rs
@@ -17,36 +17,34 @@
     /// the same time, or clearly less often.
     pub(super) fn check_process_failures(&mut self, now: f64) -> Option<String> {
         for front in 0..self.fronts.len() {
-            let m = &self.fronts[front];
-            let (silent_for, known) = (
-                m.change.silent_for(now),
-                self.process_failures.iter().any(|f| f.front == front && now - f.at < SILENCE_REPEAT_S),
-            );
-            if let Some((_, release)) = m.change.serving()
-                && m.change.settled()
-                && silent_for > self.plan.spans.silent_s
-                && !known
+            let state = &self.fronts[front];
+            let recorded =
+                self.process_failures.iter().any(|f| f.front == front && now - f.at < SILENCE_REPEAT_S);
+            if let Some((_, release)) = state.change.serving()
+                && state.change.settled()
+                && state.change.silent_for(now) > self.plan.spans.silent_s
+                && !recorded
             {
                 self.process_failures.push(ProcessFailure { at: now, front, release });
             }
         }
-        let new = |f: &&ProcessFailure| f.release == Release::New;
-        let first = self.process_failures.iter().filter(new).map(|f| f.at).next()?;
+        let is_new = |f: &&ProcessFailure| f.release == Release::New;
+        let first = self.process_failures.iter().filter(is_new).map(|f| f.at).next()?;
         if now - first < SAME_CAUSE_S {
             return None;
         }
-        let near = self.process_failures.iter().filter(|f| (f.at - first).abs() <= SAME_CAUSE_S);
-        let near: Vec<_> = near.copied().collect();
-        let failed_new = near.iter().filter(new).count();
-        let on = |release: Release| {
+        let together = self.process_failures.iter().filter(|f| (f.at - first).abs() <= SAME_CAUSE_S);
+        let together: Vec<_> = together.copied().collect();
+        let failed_new = together.iter().filter(is_new).count();
+        let running = |release: Release| {
             self.fronts.iter().filter(move |m| m.change.serving().is_some_and(|s| s.1 == release))
         };
         // Fronts whose process exited count for neither release now.
-        let new_fronts = on(Release::New).count() + failed_new;
+        let new_fronts = running(Release::New).count() + failed_new;
         let share = new_fronts as f64 / self.fronts.len() as f64;
-        let by_chance = binomial_tail(failed_new as u64, near.len() as u64, share.min(1.0));
-        if failed_new == near.len() || by_chance < SIGNIFICANCE {
-            let name = &self.plan.fronts[near.iter().find(new)?.front].name;
+        let by_chance = binomial_tail(failed_new as u64, together.len() as u64, share.min(1.0));
+        if failed_new == together.len() || by_chance < SIGNIFICANCE {
+            let name = &self.plan.fronts[together.iter().find(is_new)?.front].name;
             return Some(format!("{failed_new} new processes crashed or stopped answering, {name} first"));
         }
         self.process_failures.retain(|f| (f.at - first).abs() > SAME_CAUSE_S);
--- a/src/rollout/controller/mod.rs
+++ b/src/rollout/controller/mod.rs
@@ -34,12 +34,10 @@
     /// Fronts of the current stage are being changed.
     Changing,
     /// All fronts of the stage are changed and observed.
-    Soaking {
-        since: f64,
-    },
-    RollingBack {
-        aborted: bool,
-    },
+    Soaking { since: f64 },
+    /// Fronts are being changed back to the old release.
+    RollingBack { aborted: bool },
+    /// Nothing more is done.
     Ended(Outcome),
 }
 
@@ -77,8 +75,10 @@
 pub struct RolloutController {
     plan: Plan,
     fronts: Vec<FrontState>,
+    /// Number of fronts by location.
     location_sizes: Vec<usize>,
     stages: Vec<Stage>,
+    /// Index of the current stage.
     stage: usize,
     phase: Phase,
     started_at: f64,
@@ -87,6 +87,7 @@
     rollback_reason: Option<String>,
     gate: Gate,
     fleet_health: FleetHealth,
+    /// Counts of the watching phase by class.
     baseline_counts: Vec<ClassCounts>,
     /// Processes that crashed or stopped answering and have not been judged.
     process_failures: Vec<ProcessFailure>,
@@ -285,7 +286,8 @@
         self.push_record(Record::CommandReceived(command));
     }
 
-    /// Applies `act` to a front's change, and records and carries out what results.
+    /// Applies `act` to a front's change, and adds records and commands for the events and commands that
+    /// result.
     fn update_front(
         &mut self,
         now: f64,
--- a/src/rollout/evidence.rs
+++ b/src/rollout/evidence.rs
@@ -36,8 +36,8 @@
 
 /// Returns the logarithm of the mean of the values whose logarithms are given.
 pub fn log_mean(logs: &[f64]) -> f64 {
-    let most = logs.iter().copied().fold(f64::MIN, f64::max);
-    most + (logs.iter().map(|l| (l - most).exp()).sum::<f64>() / logs.len() as f64).ln()
+    let max = logs.iter().copied().fold(f64::MIN, f64::max);
+    max + (logs.iter().map(|l| (l - max).exp()).sum::<f64>() / logs.len() as f64).ln()
 }
 
 /// Returns the probability that at least `seen` of `all` independent events fall on a group with this share.
--- a/src/rollout/fleet_health.rs
+++ b/src/rollout/fleet_health.rs
@@ -103,7 +103,7 @@
     pub fn update(&mut self, now: f64, new_shares: &[f64]) -> Option<HealthChange> {
         match self.degradation {
             None => {
-                let class = self.classes().find(|&class| self.is_degraded_class(class))?;
+                let class = self.classes().find(|&class| self.is_class_degraded(class))?;
                 self.degradation = Some(Degradation { since: now, class });
                 Some(HealthChange::Degraded(class))
             }
@@ -144,7 +144,7 @@
         sum.requests >= MIN_REQUESTS && sum.unserved > sum.requests * (self.baseline[class] + margin)
     }
 
-    fn is_degraded_class(&self, class: usize) -> bool {
+    fn is_class_degraded(&self, class: usize) -> bool {
         self.exceeds(class, None, self.margin) && self.is_significantly_worse(class, |_| true)
     }
 
--- a/src/rollout/gate.rs
+++ b/src/rollout/gate.rs
@@ -1,6 +1,6 @@
 //! Decides whether the new release is worse than the old one. Fronts are compared over the same time and at
-//! the same location, recently started processes with recently started ones, so that neither an outage that
-//! affects both or one location, nor an empty state after a start, counts as evidence.
+//! the same location, recently active_starts processes with recently active_starts ones, so that neither an
+//! outage that affects both or one location, nor an empty state after a start, counts as evidence.
 
 use super::evidence::{Evidence, log_mean};
 use super::plan::Gates;
@@ -51,6 +51,13 @@
 /// outweighed by good results before it.
 const EVIDENCE_STARTS: usize = 4;
 
+/// Counted bad events, and the requests among which they occurred.
+#[derive(Debug, Clone, Copy, Default)]
+struct EventCount {
+    events: f64,
+    requests: f64,
+}
+
 /// Comparison of one measure of one class.
 #[derive(Debug, Clone, Copy, Default)]
 struct MeasureComparison {
@@ -58,15 +65,14 @@
     /// Pearson's chi-square of the old fronts' events against equal rates, and its degrees of freedom.
     chi_square: f64,
     degrees_of_freedom: f64,
-    /// Total events and requests of old fronts.
-    old_events: f64,
-    old_requests: f64,
+    /// Total of old fronts.
+    old_total: EventCount,
 }
 
 impl MeasureComparison {
     /// Returns how many of a front's events in a window count.
     fn counted_events(&self, measure: Measure, sum: &ClassCounts) -> f64 {
-        let usual = self.old_events / self.old_requests.max(1.0);
+        let usual = self.old_total.events / self.old_total.requests.max(1.0);
         sum.count(measure).min(MIN_COUNTED_EVENTS + COUNTED_TIMES_USUAL * usual * sum.requests)
     }
 
@@ -76,40 +82,43 @@
         cohorts: impl Iterator<Item = &'a Vec<&'a Window>>,
         measure: Measure,
         class: usize,
-        started: usize,
+        active_starts: usize,
     ) {
         // Only what was known before this window, else the evidence is no martingale.
         let (dispersion, known) = (self.dispersion(), *self);
         let count = |window: &Window| {
             let sum = window.class_counts(class);
-            (known.counted_events(measure, &sum), sum.requests)
+            EventCount { events: known.counted_events(measure, &sum), requests: sum.requests }
         };
         for fronts in cohorts {
             let total = |new: bool| {
                 let counted = fronts.iter().filter(|w| w.new == new).map(|w| count(w));
-                counted.fold((0.0, 0.0), |a, b| (a.0 + b.0, a.1 + b.1))
+                counted.fold(EventCount::default(), |a, b| EventCount {
+                    events: a.events + b.events,
+                    requests: a.requests + b.requests,
+                })
             };
             let (new, old) = (total(true), total(false));
-            let share = new.1 / (new.1 + old.1);
-            for evidence in &mut self.by_start[..started] {
-                evidence.observe(new.0, new.0 + old.0, share, dispersion);
+            let share = new.requests / (new.requests + old.requests);
+            for evidence in &mut self.by_start[..active_starts] {
+                evidence.observe(new.events, new.events + old.events, share, dispersion);
             }
             self.observe_old(old, fronts.iter().filter(|w| !w.new).map(|w| count(w)));
         }
     }
 
-    /// Adds how old fronts differ among themselves, for later windows. `total` and `each` are events and
-    /// requests of all old fronts and of each one.
-    fn observe_old(&mut self, total: (f64, f64), each: impl Iterator<Item = (f64, f64)>) {
-        let rate = total.0 / total.1.max(1.0);
-        for (events, requests) in each {
+    /// Adds how old fronts of a cohort differ among themselves, for later windows: the counts of all of them
+    /// and of each one.
+    fn observe_old(&mut self, total: EventCount, each: impl Iterator<Item = EventCount>) {
+        let rate = total.events / total.requests.max(1.0);
+        for EventCount { events, requests } in each {
             if requests * rate > 0.0 {
                 self.chi_square += (events - requests * rate).powi(2) / (requests * rate);
-                self.degrees_of_freedom += 1.0 - requests / total.1;
+                self.degrees_of_freedom += 1.0 - requests / total.requests;
             }
         }
-        self.old_events += total.0;
-        self.old_requests += total.1;
+        self.old_total.events += total.events;
+        self.old_total.requests += total.requests;
     }
 
     /// Returns the overdispersion of old fronts' events: 1 where they are independent, more where they come
@@ -118,6 +127,7 @@
         ((self.chi_square + DISPERSION_PRIOR) / (self.degrees_of_freedom + DISPERSION_PRIOR)).max(1.0)
     }
 
+    /// Returns the logarithm of the mean likelihood ratio over the starts.
     fn log_ratio(&self) -> f64 {
         log_mean(&self.by_start.map(|e| e.log_ratio()))
     }
@@ -158,7 +168,7 @@
     pub fn begin_stage(&mut self, now: f64, soak_s: f64) {
         (self.started_at, self.soak_s) = (now, soak_s.max(1.0));
         self.judged_requests.fill(0.0);
-        self.comparisons.iter_mut().flatten().for_each(|l| l.by_start = Default::default());
+        self.comparisons.iter_mut().flatten().for_each(|comparison| comparison.by_start = Default::default());
         self.usage.begin_stage();
     }
 
@@ -191,7 +201,10 @@
     /// stop.
     pub fn evidence(&self) -> (Vec<[f64; COUNTED.len()]>, f64) {
         (
-            self.comparisons.iter().map(|comparisons| comparisons.map(|l| l.log_ratio())).collect(),
+            self.comparisons
+                .iter()
+                .map(|comparisons| comparisons.map(|comparison| comparison.log_ratio()))
+                .collect(),
             self.bound(),
         )
     }
@@ -208,12 +221,12 @@
         for window in windows {
             cohorts.entry(window.cohort()).or_default().push(window);
         }
-        let started = 1
+        let active_starts = 1
             + (((now - self.started_at) / self.soak_s * EVIDENCE_STARTS as f64) as usize)
                 .min(EVIDENCE_STARTS - 1);
         for (class, comparisons) in self.comparisons.iter_mut().enumerate() {
             for (comparison, measure) in comparisons.iter_mut().zip(COUNTED) {
-                comparison.observe(cohorts.values(), measure, class, started);
+                comparison.observe(cohorts.values(), measure, class, active_starts);
             }
             for (cohort, fronts) in &cohorts {
                 let alone = !old_left.get(cohort.location).copied().unwrap_or(false);
--- a/src/rollout/stages.rs
+++ b/src/rollout/stages.rs
@@ -74,23 +74,23 @@
     ends.dedup();
     let max_controls = ((control * placements.len() as f64) as usize).max(1);
     let mut stages: Vec<Stage> = Vec::new();
-    let mut from = 0;
+    let mut start = 0;
     for &end in &ends {
-        let fronts = order[from..end].to_vec();
+        let fronts = order[start..end].to_vec();
         // A control is a front of a later stage, of the same location and with the nearest load.
         let mut candidates: Vec<usize> = order[end..].to_vec();
         let mut control = Vec::new();
         for &f in fronts.iter().take(max_controls) {
             let load_difference = |&&i: &&usize| (placements[i].rate - placements[f].rate).abs();
             let here = candidates.iter().filter(|&&i| placements[i].location == placements[f].location);
-            let Some(&next) = here.min_by(|a, b| load_difference(a).total_cmp(&load_difference(b))) else {
+            let Some(&nearest) = here.min_by(|a, b| load_difference(a).total_cmp(&load_difference(b))) else {
                 continue;
             };
-            candidates.retain(|&i| i != next);
-            control.push(next);
+            candidates.retain(|&i| i != nearest);
+            control.push(nearest);
         }
         stages.push(Stage { fronts, control });
-        from = end;
+        start = end;
     }
     stages
 }
@@ -122,7 +122,8 @@
         ) {
             let mut placements = Vec::new();
             for (location, n) in counts.iter().enumerate() {
-                placements.extend((0..*n).map(|i| Placement { location, rate: if i % 3 == 0 { 10.0 } else { 1.0 } }));
+                let rate = |i: usize| if i.is_multiple_of(3) { 10.0 } else { 1.0 };
+                placements.extend((0..*n).map(|i| Placement { location, rate: rate(i) }));
             }
             let by = if by_location { GroupBy::Location } else { GroupBy::Front };
             let made = stages(&placements, &[0.01, 0.05, 0.2, 0.5, 1.0], 0.2, by, seed);
--- a/src/rollout/usage.rs
+++ b/src/rollout/usage.rs
@@ -126,7 +126,7 @@
     /// Adds what all fronts used over the same window.
     pub fn observe(&mut self, now: f64, windows: &[Window]) {
         let mean_loads = mean_loads(windows);
-        let beside = usage_of_old_fronts(windows, &mean_loads);
+        let current = usage_of_old_fronts(windows, &mean_loads);
         for window in windows {
             if !window.new {
                 self.fronts.remove(&window.front);
@@ -135,15 +135,16 @@
             let cohort = window.cohort();
             let load = mean_loads[&window.location];
             let earlier = || self.earlier_baselines.get(&cohort).map(|baseline| baseline.scaled_to(load));
-            if let Some(usual) = beside.get(&cohort).map(|b| b.uses).or_else(earlier) {
+            if let Some(usual) = current.get(&cohort).map(|b| b.uses).or_else(earlier) {
                 self.compare(now, window, &usual);
             }
         }
-        for (cohort, baseline) in &beside {
+        for (cohort, baseline) in &current {
             self.earlier_baselines.entry(*cohort).or_default().include(baseline);
         }
     }
 
+    /// Compares a new front's usage with the usual one of old fronts.
     fn compare(&mut self, now: f64, window: &Window, usual: &[f64; RESOURCE_COUNT]) {
         let new_entry = || FrontUsage {
             run: window.run,
@@ -173,7 +174,7 @@
             let too_long = |excess: &&Excess| now - excess.since >= self.grace_s;
             let mut ratios: Vec<f64> = group.excesses().filter(too_long).map(|excess| excess.ratio).collect();
             ratios.sort_by(f64::total_cmp);
-            let stop = group.seen_for_long && group.is_at_least_half(ratios.len());
+            let stop = group.past_grace && group.is_at_least_half(ratios.len());
             stop.then(|| (COMPARED_RESOURCES[group.resource].measure, ratios[ratios.len() / 2]))
         })
     }
@@ -197,18 +198,19 @@
     fn groups(&self, now: f64) -> impl Iterator<Item = Group<'_>> {
         let mut members: BTreeMap<(usize, bool), Vec<&FrontUsage>> = BTreeMap::new();
         for front in self.fronts.values() {
-            let seen_for_long = now - front.since >= self.grace_s;
-            members.entry((front.location, seen_for_long)).or_default().push(front);
+            let past_grace = now - front.since >= self.grace_s;
+            members.entry((front.location, past_grace)).or_default().push(front);
         }
-        members.into_iter().flat_map(|((_, seen_for_long), fronts)| {
-            (0..RESOURCE_COUNT).map(move |resource| Group { seen_for_long, resource, fronts: fronts.clone() })
+        members.into_iter().flat_map(|((_, past_grace), fronts)| {
+            (0..RESOURCE_COUNT).map(move |resource| Group { past_grace, resource, fronts: fronts.clone() })
         })
     }
 }
 
 /// New fronts of one location, and one resource.
 struct Group<'a> {
-    seen_for_long: bool,
+    /// Whether these fronts have been compared for the whole grace time.
+    past_grace: bool,
     resource: usize,
     fronts: Vec<&'a FrontUsage>,
 }
