--- a/src/rollout/plan.rs
+++ b/src/rollout/plan.rs
@@ -71,7 +71,7 @@
     pub end_s: f64,
     /// Time for which the whole fleet may do worse than before; no front is changed meanwhile.
     pub patience_s: f64,
-    /// Time without an answer after which a serving process counts as failed.
+    /// Time after which a serving process that does not answer or accepts no clients counts as failed.
     pub silent_s: f64,
 }
 
