--- a/src/rollout/change.rs
+++ b/src/rollout/change.rs
@@ -79,8 +79,8 @@
     pub steady_s: f64,
     /// Time from SIGTERM after which a process that still runs is killed.
     pub end_s: f64,
-    /// Delay before a failed start is retried where no process serves; it doubles with each failure, to at most
-    /// 16 times this value.
+    /// Delay before a failed start is retried where no process serves; it doubles with each failure, to at
+    /// most 16 times this value.
     pub retry_s: f64,
 }
 
