--- a/src/rollout/change.rs
+++ b/src/rollout/change.rs
@@ -1,480 +1,502 @@
-//! One front's change: a second process beside the first, asked until it says yes and runs what it should, then the
-//! first told to end; every way in which that can fail, and the way back. The front is at no time without a process
-//! that serves, unless one ended by itself; then another is started at once.
+//! State machine of the change of one front: start a second process, poll it until it is healthy and runs the
+//! wanted release, then stop the first; with the handling of failures and rollback. The front always has a
+//! serving process unless one exits by itself; then another is started at once.
 
-/// What a front runs.
+/// Which of the plan's two builds and settings a front runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 #[cfg_attr(feature = "rollout", derive(serde::Serialize, serde::Deserialize))]
 pub enum Release {
-    /// What ran before.
+    /// What ran before the rollout.
     Old,
     /// What is rolled out.
     New,
 }
 
-/// A process of a front, by number.
+/// Number of a process of a front; later processes have higher numbers.
 pub type Run = u32;
 
-/// How a process answers operators.
+/// Health of a process, as its operator endpoint reports it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Health {
-    /// It takes clients, and says that it runs this.
+    /// It accepts clients and reports that it runs this release.
     Yes(Release),
-    /// It takes clients, and runs something else.
+    /// It accepts clients but runs neither release.
     Other,
-    /// It takes none now.
+    /// It accepts no clients at present.
     No,
     /// It does not answer in time.
     Silent,
 }
 
-/// What happened to a process.
+/// An observation of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// It answered, or did not.
+    /// A health check was answered or timed out.
     Said(Run, Health),
-    /// It could not be started.
+    /// The process could not be started.
     NotStarted(Run),
-    /// It ended.
+    /// The process exited.
     Ended(Run),
 }
 
-/// What is to be done with a process.
+/// A command to start, signal or reload a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 #[cfg_attr(feature = "rollout", derive(serde::Serialize, serde::Deserialize))]
 pub enum ProcessCommand {
-    /// Start it, to run this.
+    /// Start a process of this release.
     Start(Run, Release),
-    /// SIGTERM.
+    /// Send SIGTERM.
     Term(Run),
-    /// SIGKILL.
+    /// Send SIGKILL.
     Kill(Run),
-    /// Write the settings of this side and SIGHUP.
+    /// Write the settings of this release and send SIGHUP.
     Reload(Run, Release),
 }
 
-/// What came of it.
+/// Outcome of a step of a front's change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 #[cfg_attr(feature = "rollout", derive(serde::Serialize, serde::Deserialize))]
 pub enum ProcessEvent {
-    /// The front now runs this.
+    /// The front now runs this release.
     Changed(Release),
-    /// The process that was to run this did not start, gave no yes within its time, ended, or ran something else. The one
-    /// before serves on.
+    /// The process of this release did not start, was not healthy in time, exited, or ran something else. The
+    /// previous process continues to serve.
     GaveUp(Release),
-    /// A process that served ended by itself.
+    /// The serving process exited by itself.
     Crashed(Release),
-    /// A process did not end when told to, and was killed.
+    /// A process did not exit after SIGTERM and was killed.
     Killed,
-    /// No process serves, and several tries to start one failed.
+    /// No process serves, and several tries to start one have failed.
     Lost,
 }
 
-/// Spans (seconds).
+/// Timeouts of the change of one front (seconds).
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Times {
-    /// A process says yes within so long of its start.
-    pub start: f64,
-    /// It says yes for so long before the one before it is told to end.
-    pub steady: f64,
-    /// It ends within so long of SIGTERM, else it is killed.
-    pub end: f64,
-    /// A try to start a process where none serves is followed by another after so long.
-    pub again: f64,
+pub struct ChangeTimeouts {
+    /// Time from the start of a process within which it must be healthy.
+    pub start_s: f64,
+    /// Time for which a new process must stay healthy before the previous one is stopped.
+    pub steady_s: f64,
+    /// Time from SIGTERM after which a process that still runs is killed.
+    pub end_s: f64,
+    /// Delay before a failed start is retried where no process serves; it doubles with each failure, to at
+    /// most 16 times this value.
+    pub retry_s: f64,
 }
 
-/// Tries to start a process where none serves, after which the front counts as lost; they go on.
-const TRIES: u32 = 4;
+/// Failed starts after which a front without a serving process is reported as lost; starts are still retried.
+const TRIES_UNTIL_LOST: u32 = 4;
 
-/// Where a change stands.
+/// State of a change.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Phase {
-    /// Nothing is under way.
+pub enum ChangePhase {
+    /// No change is in progress.
     Settled,
-    /// A further process is on its way, and has said yes since.
-    Coming {
-        /// Which.
+    /// A new process has been started and is not serving yet.
+    Starting {
+        /// The new process.
         next: Run,
-        /// What it is to run.
-        to: Release,
-        /// Since when.
+        /// The release that it must run.
+        target: Release,
+        /// When it was started.
         since: f64,
-        /// Since when it says yes.
-        yes: Option<f64>,
+        /// Since when it has been healthy without interruption.
+        ready_since: Option<f64>,
     },
-    /// It serves; the one before it was told to end.
-    Leaving {
-        /// Which.
-        old: Run,
-        /// Since when.
+    /// The new process serves; the previous one was sent SIGTERM.
+    StoppingPrevious {
+        /// The previous process.
+        previous: Run,
+        /// When it was last sent a signal.
         since: f64,
-        /// It was killed.
+        /// Whether it was sent SIGKILL.
         killed: bool,
     },
-    /// The further process is no good and was told to end.
+    /// The new process was rejected and sent SIGTERM; the previous one serves.
     Withdrawing {
-        /// Which.
+        /// The rejected process.
         next: Run,
-        /// Since when.
+        /// When it was last sent a signal.
         since: f64,
-        /// It was killed.
+        /// Whether it was sent SIGKILL.
         killed: bool,
-        /// What it was to run.
-        to: Release,
+        /// The release that it should have run.
+        target: Release,
     },
-    /// Nothing serves: a process is started, again and again.
+    /// No process serves; starts are retried with backoff.
     Down {
-        /// The one on its way.
+        /// The process being started.
         next: Run,
-        /// Since when; and whether it has ended already.
+        /// When it was started, or when it failed.
         since: f64,
-        /// It failed, and the next try waits.
+        /// Whether it failed, so that the next start waits for the backoff.
         failed: bool,
-        /// How many tries.
+        /// Starts that have failed before this one.
         tries: u32,
     },
-    /// The process was told to read its settings again.
+    /// The serving process was sent SIGHUP to reload its settings.
     Reloading {
-        /// What it is to run.
-        to: Release,
-        /// Since when.
+        /// The release whose settings the change is to.
+        target: Release,
+        /// When the signal was sent.
         since: f64,
-        /// It was told to go back to what it had.
-        back: bool,
+        /// Whether the reload was reverted: the process must report its former settings.
+        reverting: bool,
     },
 }
 
-/// A front.
+/// The change of one front, from one release to the other or to a new process of the same release.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Change {
-    times: Times,
-    /// All changed settings take effect in service.
+    timeouts: ChangeTimeouts,
+    /// Whether the change is made by reload: all changed settings take effect without a restart.
     reload: bool,
-    /// Which process serves, and what it runs.
+    /// The serving process and its release.
     serving: Option<(Run, Release)>,
-    phase: Phase,
-    /// The number of the process that is started next.
+    phase: ChangePhase,
+    /// Number of the next process to be started.
     next: Run,
-    /// Since when the one that serves is silent.
-    silent: Option<f64>,
-    /// Processes that were told to end while something else was under way, and since when.
+    /// Since when the serving process has not answered or has accepted no clients.
+    silent_since: Option<f64>,
+    /// Processes that are being stopped besides the change in progress, and when each was last sent a signal.
     leftovers: Vec<(Run, f64)>,
 }
 
 impl Change {
-    /// A front whose process `run` serves.
-    pub fn new(times: Times, reload: bool, run: Run, side: Release) -> Change {
-        let phase = Phase::Settled;
-        let serving = Some((run, side));
-        Change { times, reload, serving, phase, next: run + 1, silent: None, leftovers: Vec::new() }
+    /// Creates the state of a front whose process `run` serves.
+    pub fn new(timeouts: ChangeTimeouts, reload: bool, run: Run, release: Release) -> Change {
+        let phase = ChangePhase::Settled;
+        let serving = Some((run, release));
+        Change { timeouts, reload, serving, phase, next: run + 1, silent_since: None, leftovers: Vec::new() }
     }
 
-    /// A front as it was found: processes with what they said and what they were started to run, the oldest first;
-    /// `next` is the first free number. Of two, the newer takes over if it says yes to a side; else it is withdrawn.
-    pub fn found(
+    /// Rebuilds the state from the processes found, the oldest first, each with its health and the release
+    /// that it was started with; `next` is the first free number. Of two, the newer takes over if it is
+    /// healthy and runs one of the releases, else it is withdrawn.
+    pub fn recover(
         now: f64,
-        times: Times,
+        timeouts: ChangeTimeouts,
         reload: bool,
         runs: &[(Run, Health, Release)],
         next: Run,
-        orders: &mut Vec<ProcessCommand>,
+        commands: &mut Vec<ProcessCommand>,
     ) -> Change {
-        let said = |h: Health| if let Health::Yes(side) = h { Some(side) } else { None };
-        let mut change = Change { next, serving: None, ..Change::new(times, reload, 0, Release::Old) };
+        let reported = |h: Health| if let Health::Yes(release) = h { Some(release) } else { None };
+        let mut change = Change { next, serving: None, ..Change::new(timeouts, reload, 0, Release::Old) };
         match *runs {
-            [] => change.revive(now, 0, orders),
-            [(run, health, side)] => change.serving = Some((run, said(health).unwrap_or(side))),
-            [.., (old, was, side), (new, is, _)] => {
-                // Whatever is older still was to end.
+            [] => change.restart_front(now, 0, commands),
+            [(run, health, release)] => change.serving = Some((run, reported(health).unwrap_or(release))),
+            [.., (previous, previous_health, release), (new, new_health, _)] => {
+                // Processes older than the last two were being stopped.
                 let older = runs[..runs.len() - 2].iter().map(|r| r.0);
-                orders.extend(older.clone().map(ProcessCommand::Term));
+                commands.extend(older.clone().map(ProcessCommand::Term));
                 change.leftovers.extend(older.map(|run| (run, now)));
-                if let Some(side) = said(is) {
-                    change.serving = Some((new, side));
-                    change.phase = Phase::Leaving { old, since: now, killed: false };
-                    orders.push(ProcessCommand::Term(old));
+                if let Some(release) = reported(new_health) {
+                    change.serving = Some((new, release));
+                    change.phase = ChangePhase::StoppingPrevious { previous, since: now, killed: false };
+                    commands.push(ProcessCommand::Term(previous));
                 } else {
-                    // Withdrawn, it costs nothing; whether it would have come is not known.
-                    change.serving = Some((old, said(was).unwrap_or(side)));
-                    change.phase =
-                        Phase::Withdrawing { next: new, since: now, killed: false, to: Release::New };
-                    orders.push(ProcessCommand::Term(new));
+                    // Withdrawing it is safe: the previous process serves. Whether it would have become
+                    // healthy is unknown.
+                    change.serving = Some((previous, reported(previous_health).unwrap_or(release)));
+                    change.phase = ChangePhase::Withdrawing {
+                        next: new,
+                        since: now,
+                        killed: false,
+                        target: Release::New,
+                    };
+                    commands.push(ProcessCommand::Term(new));
                 }
             }
         }
         change
     }
 
-    /// Which process serves, and what it runs.
+    /// Returns the serving process and its release.
     pub fn serving(&self) -> Option<(Run, Release)> {
         self.serving
     }
 
-    /// Where it stands.
-    pub fn phase(&self) -> Phase {
+    /// Returns the state of the change.
+    pub fn phase(&self) -> ChangePhase {
         self.phase
     }
 
-    /// Is nothing under way, and one process there and no other?
+    /// Returns whether no change is in progress and no process is being stopped.
     pub fn settled(&self) -> bool {
-        self.phase == Phase::Settled && self.leftovers.is_empty()
+        self.phase == ChangePhase::Settled && self.leftovers.is_empty()
     }
 
-    /// Is a process of this side serving, or on its way to?
-    pub fn towards(&self, side: Release) -> bool {
+    /// Returns whether the front runs this release or is changing to it.
+    pub fn targets(&self, release: Release) -> bool {
         match self.phase {
-            Phase::Coming { to, .. } | Phase::Reloading { to, back: false, .. } => to == side,
-            _ => self.serving.is_some_and(|s| s.1 == side),
+            ChangePhase::Starting { target, .. }
+            | ChangePhase::Reloading { target, reverting: false, .. } => target == release,
+            _ => self.serving.is_some_and(|s| s.1 == release),
         }
     }
 
-    /// For how long the process that serves has been silent (seconds).
-    pub fn silence(&self, now: f64) -> f64 {
-        self.silent.map_or(0.0, |since| now - since)
+    /// Returns for how long the serving process has not answered or has accepted no clients (seconds).
+    pub fn silent_for(&self, now: f64) -> f64 {
+        self.silent_since.map_or(0.0, |since| now - since)
     }
 
-    /// A span passed in which nobody looked: it counts for nothing.
-    pub fn skip(&mut self, gap: f64) {
+    /// Excludes a span without observations (seconds) from all timeouts.
+    pub fn exclude_gap(&mut self, gap: f64) {
         match &mut self.phase {
-            Phase::Settled => {}
-            Phase::Coming { since, yes, .. } => {
+            ChangePhase::Settled => {}
+            ChangePhase::Starting { since, ready_since, .. } => {
                 *since += gap;
-                *yes = None;
+                *ready_since = None;
             }
-            Phase::Leaving { since, .. }
-            | Phase::Withdrawing { since, .. }
-            | Phase::Down { since, .. }
-            | Phase::Reloading { since, .. } => *since += gap,
+            ChangePhase::StoppingPrevious { since, .. }
+            | ChangePhase::Withdrawing { since, .. }
+            | ChangePhase::Down { since, .. }
+            | ChangePhase::Reloading { since, .. } => *since += gap,
         }
-        self.silent = None;
+        self.silent_since = None;
         self.leftovers.iter_mut().for_each(|l| l.1 += gap);
     }
 
-    /// A settled front goes to this side; one that is there starts a process anew all the same.
-    pub fn go(&mut self, now: f64, to: Release, orders: &mut Vec<ProcessCommand>) {
-        let (true, Some((run, side))) = (self.settled(), self.serving) else { return };
-        if self.reload && side != to {
-            self.phase = Phase::Reloading { to, since: now, back: false };
-            return orders.push(ProcessCommand::Reload(run, to));
+    /// Starts the change of a settled front to this release. A front that runs it already gets a new process.
+    pub fn start_change(&mut self, now: f64, target: Release, commands: &mut Vec<ProcessCommand>) {
+        let (true, Some((run, release))) = (self.settled(), self.serving) else { return };
+        if self.reload && release != target {
+            self.phase = ChangePhase::Reloading { target, since: now, reverting: false };
+            return commands.push(ProcessCommand::Reload(run, target));
         }
-        let next = self.number();
-        self.phase = Phase::Coming { next, to, since: now, yes: None };
-        orders.push(ProcessCommand::Start(next, to));
+        let next = self.allocate_run();
+        self.phase = ChangePhase::Starting { next, target, since: now, ready_since: None };
+        commands.push(ProcessCommand::Start(next, target));
     }
 
-    /// What is on its way to the new side is not wanted any more.
-    pub fn call_back(&mut self, now: f64, orders: &mut Vec<ProcessCommand>) {
+    /// Cancels a change to the new release that is in progress.
+    pub fn cancel_change(&mut self, now: f64, commands: &mut Vec<ProcessCommand>) {
         match self.phase {
-            Phase::Coming { next, to: Release::New, .. } => self.withdraw(now, next, Release::New, orders),
-            Phase::Reloading { to: Release::New, back: false, .. } => {
-                let Some((run, side)) = self.serving else { return };
-                self.phase = Phase::Reloading { to: Release::New, since: now, back: true };
-                orders.push(ProcessCommand::Reload(run, side));
+            ChangePhase::Starting { next, target: Release::New, .. } => {
+                self.withdraw(now, next, Release::New, commands)
+            }
+            ChangePhase::Reloading { target: Release::New, reverting: false, .. } => {
+                let Some((run, release)) = self.serving else { return };
+                self.phase = ChangePhase::Reloading { target: Release::New, since: now, reverting: true };
+                commands.push(ProcessCommand::Reload(run, release));
             }
             _ => {}
         }
     }
 
-    fn number(&mut self) -> Run {
+    fn allocate_run(&mut self) -> Run {
         self.next += 1;
         self.next - 1
     }
 
-    /// Starts a process where none serves: of what ran before, which is known to serve.
-    fn revive(&mut self, now: f64, tries: u32, orders: &mut Vec<ProcessCommand>) {
-        // What was to end still has to.
-        if let Phase::Leaving { old: run, since, .. } | Phase::Withdrawing { next: run, since, .. } =
-            self.phase
+    /// Starts a process where none serves, of the old release, which is known to work.
+    fn restart_front(&mut self, now: f64, tries: u32, commands: &mut Vec<ProcessCommand>) {
+        // A process that was being stopped must still be waited for.
+        if let ChangePhase::StoppingPrevious { previous: run, since, .. }
+        | ChangePhase::Withdrawing { next: run, since, .. } = self.phase
         {
             self.leftovers.push((run, since));
         }
-        let next = self.number();
-        self.phase = Phase::Down { next, since: now, failed: false, tries };
-        orders.push(ProcessCommand::Start(next, Release::Old));
+        let next = self.allocate_run();
+        self.phase = ChangePhase::Down { next, since: now, failed: false, tries };
+        commands.push(ProcessCommand::Start(next, Release::Old));
     }
 
-    /// Hears of one of its processes; what is to be done, and what came of it.
-    pub fn hear(
+    /// Handles an observation of one of the front's processes; appends the commands and events that result.
+    pub fn handle_observation(
         &mut self,
         now: f64,
         event: Event,
-        orders: &mut Vec<ProcessCommand>,
-        notices: &mut Vec<ProcessEvent>,
+        commands: &mut Vec<ProcessCommand>,
+        events: &mut Vec<ProcessEvent>,
     ) {
         match event {
-            Event::Said(run, health) => self.said(now, run, health, orders, notices),
-            Event::NotStarted(run) | Event::Ended(run) => self.ended(now, run, orders, notices),
+            Event::Said(run, health) => self.handle_answer(now, run, health, commands, events),
+            Event::NotStarted(run) | Event::Ended(run) => self.handle_exit(now, run, commands, events),
         }
     }
 
-    fn said(
+    fn handle_answer(
         &mut self,
         now: f64,
         run: Run,
         health: Health,
-        orders: &mut Vec<ProcessCommand>,
-        notices: &mut Vec<ProcessEvent>,
+        commands: &mut Vec<ProcessCommand>,
+        events: &mut Vec<ProcessEvent>,
     ) {
         if self.serving.is_some_and(|s| s.0 == run) {
             match health {
-                Health::Silent | Health::No => _ = self.silent.get_or_insert(now),
-                _ => self.silent = None,
+                Health::Silent | Health::No => _ = self.silent_since.get_or_insert(now),
+                _ => self.silent_since = None,
             }
         }
         match self.phase {
-            Phase::Coming { next, to, since, yes } if next == run => match health {
-                Health::Yes(side) if side == to => {
-                    let from = *yes.as_ref().unwrap_or(&now);
-                    if now - from < self.times.steady || yes.is_none() && self.times.steady > 0.0 {
-                        self.phase = Phase::Coming { next, to, since, yes: Some(from) };
+            ChangePhase::Starting { next, target, since, ready_since } if next == run => match health {
+                Health::Yes(release) if release == target => {
+                    let from = *ready_since.as_ref().unwrap_or(&now);
+                    if now - from < self.timeouts.steady_s
+                        || ready_since.is_none() && self.timeouts.steady_s > 0.0
+                    {
+                        self.phase = ChangePhase::Starting { next, target, since, ready_since: Some(from) };
                         return;
                     }
-                    let before = self.serving.replace((next, to));
-                    self.silent = None;
+                    let before = self.serving.replace((next, target));
+                    self.silent_since = None;
                     match before {
-                        Some((old, _)) => {
-                            orders.push(ProcessCommand::Term(old));
-                            self.phase = Phase::Leaving { old, since: now, killed: false };
+                        Some((previous, _)) => {
+                            commands.push(ProcessCommand::Term(previous));
+                            self.phase =
+                                ChangePhase::StoppingPrevious { previous, since: now, killed: false };
                         }
-                        // The one before ended by itself meanwhile.
+                        // The previous process has exited by itself meanwhile.
                         None => {
-                            self.phase = Phase::Settled;
-                            notices.push(ProcessEvent::Changed(to));
+                            self.phase = ChangePhase::Settled;
+                            events.push(ProcessEvent::Changed(target));
                         }
                     }
                 }
-                Health::Yes(_) | Health::Other => self.withdraw(now, next, to, orders),
-                Health::No | Health::Silent => self.phase = Phase::Coming { next, to, since, yes: None },
+                Health::Yes(_) | Health::Other => self.withdraw(now, next, target, commands),
+                Health::No | Health::Silent => {
+                    self.phase = ChangePhase::Starting { next, target, since, ready_since: None }
+                }
             },
-            Phase::Down { next, .. } if next == run => {
-                if let Health::Yes(side) = health {
-                    self.serving = Some((next, side));
-                    self.phase = Phase::Settled;
-                    notices.push(ProcessEvent::Changed(side));
+            ChangePhase::Down { next, .. } if next == run => {
+                if let Health::Yes(release) = health {
+                    self.serving = Some((next, release));
+                    self.phase = ChangePhase::Settled;
+                    events.push(ProcessEvent::Changed(release));
                 }
             }
-            Phase::Reloading { to, back, .. } if self.serving.is_some_and(|s| s.0 == run) => {
-                let wanted = if back { self.serving.map_or(Release::Old, |s| s.1) } else { to };
+            ChangePhase::Reloading { target, reverting, .. } if self.serving.is_some_and(|s| s.0 == run) => {
+                let wanted = if reverting { self.serving.map_or(Release::Old, |s| s.1) } else { target };
                 if health == Health::Yes(wanted) {
-                    self.phase = Phase::Settled;
+                    self.phase = ChangePhase::Settled;
                     self.serving = Some((run, wanted));
-                    notices.push(if back { ProcessEvent::GaveUp(to) } else { ProcessEvent::Changed(to) });
+                    events.push(if reverting {
+                        ProcessEvent::GaveUp(target)
+                    } else {
+                        ProcessEvent::Changed(target)
+                    });
                 }
             }
             _ => {}
         }
     }
 
-    fn withdraw(&mut self, now: f64, next: Run, to: Release, orders: &mut Vec<ProcessCommand>) {
-        orders.push(ProcessCommand::Term(next));
-        self.phase = Phase::Withdrawing { next, since: now, killed: false, to };
+    fn withdraw(&mut self, now: f64, next: Run, target: Release, commands: &mut Vec<ProcessCommand>) {
+        commands.push(ProcessCommand::Term(next));
+        self.phase = ChangePhase::Withdrawing { next, since: now, killed: false, target };
     }
 
-    fn ended(
+    fn handle_exit(
         &mut self,
         now: f64,
         run: Run,
-        orders: &mut Vec<ProcessCommand>,
-        notices: &mut Vec<ProcessEvent>,
+        commands: &mut Vec<ProcessCommand>,
+        events: &mut Vec<ProcessEvent>,
     ) {
         self.leftovers.retain(|l| l.0 != run);
         let served = self.serving.filter(|s| s.0 == run);
-        if let Some((_, side)) = served {
+        if let Some((_, release)) = served {
             self.serving = None;
-            self.silent = None;
-            notices.push(ProcessEvent::Crashed(side));
+            self.silent_since = None;
+            events.push(ProcessEvent::Crashed(release));
         }
         match self.phase {
-            Phase::Coming { next, to, .. } if next == run => {
-                notices.push(ProcessEvent::GaveUp(to));
-                self.rest(now, orders);
+            ChangePhase::Starting { next, target, .. } if next == run => {
+                events.push(ProcessEvent::GaveUp(target));
+                self.settle(now, commands);
             }
-            // It may yet say yes; if not, another is started then.
-            Phase::Coming { .. } => {}
-            Phase::Withdrawing { next, to, .. } if next == run => {
-                notices.push(ProcessEvent::GaveUp(to));
-                self.rest(now, orders);
+            // The new process may still become healthy; if it fails, another is started then.
+            ChangePhase::Starting { .. } => {}
+            ChangePhase::Withdrawing { next, target, .. } if next == run => {
+                events.push(ProcessEvent::GaveUp(target));
+                self.settle(now, commands);
             }
-            Phase::Leaving { old, .. } if old == run => {
-                self.phase = Phase::Settled;
-                notices.extend(self.serving.map(|s| ProcessEvent::Changed(s.1)));
+            ChangePhase::StoppingPrevious { previous, .. } if previous == run => {
+                self.phase = ChangePhase::Settled;
+                events.extend(self.serving.map(|s| ProcessEvent::Changed(s.1)));
             }
-            Phase::Down { next, since, tries, .. } if next == run => {
-                self.phase = Phase::Down { next, since: since.max(now), failed: true, tries };
+            ChangePhase::Down { next, since, tries, .. } if next == run => {
+                self.phase = ChangePhase::Down { next, since: since.max(now), failed: true, tries };
             }
-            Phase::Reloading { to, .. } if served.is_some() => {
-                notices.push(ProcessEvent::GaveUp(to));
-                self.revive(now, 0, orders);
+            ChangePhase::Reloading { target, .. } if served.is_some() => {
+                events.push(ProcessEvent::GaveUp(target));
+                self.restart_front(now, 0, commands);
             }
-            Phase::Settled | Phase::Leaving { .. } | Phase::Withdrawing { .. } if served.is_some() => {
-                self.revive(now, 0, orders);
+            ChangePhase::Settled | ChangePhase::StoppingPrevious { .. } | ChangePhase::Withdrawing { .. }
+                if served.is_some() =>
+            {
+                self.restart_front(now, 0, commands);
             }
             _ => {}
         }
     }
 
-    /// Nothing more is under way; where nothing serves, a process is started.
-    fn rest(&mut self, now: f64, orders: &mut Vec<ProcessCommand>) {
-        self.phase = Phase::Settled;
+    /// Ends the change; where no process serves, one is started.
+    fn settle(&mut self, now: f64, commands: &mut Vec<ProcessCommand>) {
+        self.phase = ChangePhase::Settled;
         if self.serving.is_none() {
-            self.revive(now, 0, orders);
+            self.restart_front(now, 0, commands);
         }
     }
 
-    /// Time has passed.
-    pub fn tick(&mut self, now: f64, orders: &mut Vec<ProcessCommand>, notices: &mut Vec<ProcessEvent>) {
-        let times = self.times;
+    /// Applies the timeouts that have passed.
+    pub fn tick(&mut self, now: f64, commands: &mut Vec<ProcessCommand>, events: &mut Vec<ProcessEvent>) {
+        let timeouts = self.timeouts;
         for (run, since) in &mut self.leftovers {
-            if now - *since > times.end {
+            if now - *since > timeouts.end_s {
                 *since = now;
-                orders.push(ProcessCommand::Kill(*run));
-                notices.push(ProcessEvent::Killed);
+                commands.push(ProcessCommand::Kill(*run));
+                events.push(ProcessEvent::Killed);
             }
         }
         match &mut self.phase {
-            Phase::Settled => {}
-            &mut Phase::Coming { next, to, since, .. } => {
-                if now - since > times.start {
-                    self.withdraw(now, next, to, orders);
+            ChangePhase::Settled => {}
+            &mut ChangePhase::Starting { next, target, since, .. } => {
+                if now - since > timeouts.start_s {
+                    self.withdraw(now, next, target, commands);
                 }
             }
-            Phase::Leaving { old: run, since, killed, .. }
-            | Phase::Withdrawing { next: run, since, killed, .. } => {
-                if now - *since > times.end {
-                    orders.push(ProcessCommand::Kill(*run));
+            ChangePhase::StoppingPrevious { previous: run, since, killed, .. }
+            | ChangePhase::Withdrawing { next: run, since, killed, .. } => {
+                if now - *since > timeouts.end_s {
+                    commands.push(ProcessCommand::Kill(*run));
                     if !*killed {
-                        notices.push(ProcessEvent::Killed);
+                        events.push(ProcessEvent::Killed);
                     }
                     (*killed, *since) = (true, now);
                 }
             }
-            &mut Phase::Down { next, since, failed, tries } => {
-                let late = !failed && now - since > times.start;
+            &mut ChangePhase::Down { next, since, failed, tries } => {
+                let late = !failed && now - since > timeouts.start_s;
                 if late {
-                    orders.push(ProcessCommand::Kill(next));
+                    commands.push(ProcessCommand::Kill(next));
                     self.leftovers.push((next, now));
                 }
-                if late || failed && now - since > times.again * f64::from(1 << tries.min(4)) {
-                    if tries + 1 == TRIES {
-                        notices.push(ProcessEvent::Lost);
+                if late || failed && now - since > timeouts.retry_s * f64::from(1 << tries.min(4)) {
+                    if tries + 1 == TRIES_UNTIL_LOST {
+                        events.push(ProcessEvent::Lost);
                     }
-                    self.revive(now, tries + 1, orders);
+                    self.restart_front(now, tries + 1, commands);
                 }
             }
-            &mut Phase::Reloading { to, since, back } => {
-                if now - since <= times.start {
+            &mut ChangePhase::Reloading { target, since, reverting } => {
+                if now - since <= timeouts.start_s {
                     return;
                 }
-                let Some((run, side)) = self.serving else { return };
-                if back {
-                    // It does not heed its settings either way: a process beside it is the way that is left.
-                    notices.push(ProcessEvent::GaveUp(to));
-                    let next = self.number();
-                    self.phase = Phase::Coming { next, to: side, since: now, yes: None };
-                    return orders.push(ProcessCommand::Start(next, side));
+                let Some((run, release)) = self.serving else { return };
+                if reverting {
+                    // Neither reload took effect: only a new process can restore the former settings.
+                    events.push(ProcessEvent::GaveUp(target));
+                    let next = self.allocate_run();
+                    self.phase =
+                        ChangePhase::Starting { next, target: release, since: now, ready_since: None };
+                    return commands.push(ProcessCommand::Start(next, release));
                 }
-                self.phase = Phase::Reloading { to, since: now, back: true };
-                orders.push(ProcessCommand::Reload(run, side));
+                self.phase = ChangePhase::Reloading { target, since: now, reverting: true };
+                commands.push(ProcessCommand::Reload(run, release));
             }
         }
     }
--- a/src/rollout/fleet_health.rs
+++ b/src/rollout/fleet_health.rs
@@ -1,108 +1,119 @@
-//! Does the fleet as a whole do worse than before the rollout, whoever's fault it is?
+//! Detects that the fleet as a whole serves a smaller share of requests than before the rollout, whatever the
+//! cause.
 //!
-//! While it does, nothing more is changed. It may do so for the plan's patience; the rollout goes back if what is asked
-//! after that still does worse. A location that is in trouble of its own is waited for.
+//! No front is changed while it does. The rollout rolls back if requests after the plan's patience still do
+//! worse. An outage of a single location that the rollout did not cause is waited for.
 
-use super::evidence::tail;
+use super::evidence::binomial_tail;
 use super::window::ClassCounts;
 use std::collections::VecDeque;
 
-/// The whole is judged over so long (seconds).
-const RECENT_S: f64 = 10.0;
-/// Fewer requests of a class say nothing of how it does.
-const LEAST_REQUESTS: f64 = 50.0;
-/// What chance does more seldom than once in so many times is not taken for chance.
-const CHANCE: f64 = 0.01;
-/// A location has clearly fewer new fronts than another below this part of the other's share of them.
-const FEWER: f64 = 0.8;
-
-/// What all fronts of each location did in a window, by class.
+/// The fleet is judged over this time (seconds).
+const JUDGED_SPAN_S: f64 = 10.0;
+/// A class with fewer requests is not judged.
+const MIN_REQUESTS: f64 = 50.0;
+/// An excess with a smaller probability is not taken for chance.
+const SIGNIFICANCE: f64 = 0.01;
+/// A location has clearly fewer new fronts than another if its share of them is below this multiple of the
+/// other's.
+const CLEARLY_FEWER_RATIO: f64 = 0.8;
+
+/// Counts of all fronts in a window, by location and class.
 type Locations = Vec<Vec<ClassCounts>>;
 
-/// What changed.
+/// A change of the fleet's health.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Changed {
-    /// The whole does worse than before in this class.
-    Worse(usize),
-    /// It does as well as before again.
-    Well,
+pub enum HealthChange {
+    /// The fleet does worse than before in this class.
+    Degraded(usize),
+    /// The fleet does as well as before again.
+    Recovered,
 }
 
-/// The whole does worse.
+/// A time in which the fleet does worse.
 #[derive(Debug, Clone, Copy)]
-struct Decline {
+struct Degradation {
     since: f64,
     class: usize,
 }
 
-/// What is known of the whole.
+/// Health of the whole fleet, compared with that before the rollout.
 #[derive(Debug, Clone)]
 pub struct FleetHealth {
     /// Share of requests that were not served before the rollout, by class.
-    base: Vec<f64>,
-    /// That share may rise by so much.
+    baseline: Vec<f64>,
+    /// Permitted rise of that share.
     margin: f64,
-    /// For so long it may rise by more (seconds).
+    /// Time for which it may rise by more (seconds).
     patience: f64,
     recent: VecDeque<(f64, Locations)>,
-    trouble: Option<Decline>,
+    degradation: Option<Degradation>,
 }
 
 impl FleetHealth {
-    /// Of so many classes, none of which fails requests before.
+    /// Creates the health of a fleet with this many classes, with a baseline of no failed requests.
     pub fn new(classes: usize, margin: f64, patience: f64) -> FleetHealth {
-        FleetHealth { base: vec![0.0; classes], margin, patience, recent: VecDeque::new(), trouble: None }
+        FleetHealth {
+            baseline: vec![0.0; classes],
+            margin,
+            patience,
+            recent: VecDeque::new(),
+            degradation: None,
+        }
     }
 
-    /// The share of requests that are not served on an ordinary day, by class.
-    pub fn set_base(&mut self, base: Vec<f64>) {
-        self.base = base;
+    /// Sets the share of requests that were not served before the rollout, by class.
+    pub fn set_baseline(&mut self, baseline: Vec<f64>) {
+        self.baseline = baseline;
     }
 
-    /// What all fronts did in a window that ends now.
-    pub fn saw(&mut self, now: f64, locations: Locations) {
+    /// Adds the counts of all fronts in a window that ends now.
+    pub fn observe(&mut self, now: f64, locations: Locations) {
         self.recent.push_back((now, locations));
-        while self.recent.front().is_some_and(|(at, _)| *at < now - RECENT_S) {
+        while self.recent.front().is_some_and(|(at, _)| *at < now - JUDGED_SPAN_S) {
             self.recent.pop_front();
         }
     }
 
-    /// Nobody looked for so long: that time counts for nothing (seconds).
-    pub fn skip(&mut self, gap: f64) {
+    /// Excludes a span without observations (seconds).
+    pub fn exclude_gap(&mut self, gap: f64) {
         self.recent.clear();
-        if let Some(trouble) = &mut self.trouble {
-            trouble.since += gap;
+        if let Some(degradation) = &mut self.degradation {
+            degradation.since += gap;
         }
     }
 
-    /// Does the whole do worse than before?
-    pub fn in_trouble(&self) -> bool {
-        self.trouble.is_some()
+    /// Returns whether the fleet does worse than before.
+    pub fn is_degraded(&self) -> bool {
+        self.degradation.is_some()
     }
 
-    /// The first class in which what was asked after the patience ran out still does worse. Requests of before say nothing of
-    /// that: a short trouble stays among the recent ones for longer than the patience may be.
-    pub fn worse_for_too_long(&self, now: f64) -> Option<usize> {
-        let over_at = self.trouble?.since + self.patience;
-        let later = |at: f64| at > over_at;
-        (now > over_at).then(|| self.classes().find(|&class| self.is_surely_worse(class, later)))?
+    /// Returns the first class whose requests after the end of the patience still do worse. Earlier requests
+    /// are left out: those of a short outage stay among the recent ones for `JUDGED_SPAN_S`, which may exceed
+    /// the patience.
+    pub fn degraded_beyond_patience(&self, now: f64) -> Option<usize> {
+        let patience_end = self.degradation?.since + self.patience;
+        let later = |at: f64| at > patience_end;
+        (now > patience_end)
+            .then(|| self.classes().find(|&class| self.is_significantly_worse(class, later)))?
     }
 
-    /// Looks at the recent requests. `new_shares` are the shares of each location's fronts that run the new side.
-    pub fn look(&mut self, now: f64, new_shares: &[f64]) -> Option<Changed> {
-        match self.trouble {
+    /// Judges the recent requests. `new_shares` are the shares of each location's fronts that run the new
+    /// release.
+    pub fn update(&mut self, now: f64, new_shares: &[f64]) -> Option<HealthChange> {
+        match self.degradation {
             None => {
-                let class = self.classes().find(|&class| self.is_known_to_be_worse(class))?;
-                self.trouble = Some(Decline { since: now, class });
-                Some(Changed::Worse(class))
+                let class = self.classes().find(|&class| self.is_class_degraded(class))?;
+                self.degradation = Some(Degradation { since: now, class });
+                Some(HealthChange::Degraded(class))
             }
             Some(_) if !self.classes().any(|class| self.exceeds(class, None, self.margin / 2.0)) => {
-                self.trouble = None;
-                Some(Changed::Well)
+                self.degradation = None;
+                Some(HealthChange::Recovered)
             }
-            Some(Decline { class, .. }) => {
-                if self.is_of_a_location(class, new_shares) {
-                    self.trouble = Some(Decline { since: now, class });
+            Some(Degradation { class, .. }) => {
+                if self.is_local(class, new_shares) {
+                    self.degradation = Some(Degradation { since: now, class });
                 }
                 None
             }
@@ -110,45 +121,50 @@
     }
 
     fn classes(&self) -> impl Iterator<Item = usize> + use<> {
-        0..self.base.len()
+        0..self.baseline.len()
     }
 
-    /// Requests of a class in windows that ended at times like these, at one location or everywhere.
+    /// Sums a class over the windows whose end satisfies `when`, at one location or everywhere.
     fn sum(&self, class: usize, location: Option<usize>, when: impl Fn(f64) -> bool) -> ClassCounts {
         let mut sum = ClassCounts::default();
         for (_, locations) in self.recent.iter().filter(|(at, _)| when(*at)) {
             let wanted = locations.iter().enumerate().filter(|(l, _)| location.is_none_or(|x| x == *l));
             for (_, classes) in wanted {
-                sum.asked += classes[class].asked;
+                sum.requests += classes[class].requests;
                 sum.unserved += classes[class].unserved;
             }
         }
         sum
     }
 
-    /// Is the share of recent requests that were not served over that of before by so much?
-    fn exceeds(&self, class: usize, location: Option<usize>, by: f64) -> bool {
+    /// Returns whether the share of recent requests that were not served exceeds the baseline by more than
+    /// `margin`.
+    fn exceeds(&self, class: usize, location: Option<usize>, margin: f64) -> bool {
         let sum = self.sum(class, location, |_| true);
-        sum.asked >= LEAST_REQUESTS && sum.unserved > sum.asked * (self.base[class] + by)
+        sum.requests >= MIN_REQUESTS && sum.unserved > sum.requests * (self.baseline[class] + margin)
     }
 
-    fn is_known_to_be_worse(&self, class: usize) -> bool {
-        self.exceeds(class, None, self.margin) && self.is_surely_worse(class, |_| true)
+    fn is_class_degraded(&self, class: usize) -> bool {
+        self.exceeds(class, None, self.margin) && self.is_significantly_worse(class, |_| true)
     }
 
-    /// A few of a rare class are chance: it has to be more than what the margin allows, and by more than that.
-    fn is_surely_worse(&self, class: usize, when: impl Fn(f64) -> bool) -> bool {
-        let most = self.base[class] + self.margin;
+    /// Returns whether the failures exceed the margin by more than chance explains, as a few in a rare class
+    /// do not.
+    fn is_significantly_worse(&self, class: usize, when: impl Fn(f64) -> bool) -> bool {
+        let permitted = self.baseline[class] + self.margin;
         let sum = self.sum(class, None, when);
-        tail(sum.unserved as u64, sum.asked as u64, most) < CHANCE
+        binomial_tail(sum.unserved as u64, sum.requests as u64, permitted) < SIGNIFICANCE
     }
 
-    /// A location that does worse though it has fewer of the new fronts than one that does not is in trouble of its own.
-    fn is_of_a_location(&self, class: usize, new_shares: &[f64]) -> bool {
+    /// Returns whether the cause is local: a location does worse though it does not have clearly more new
+    /// fronts than one that does well.
+    fn is_local(&self, class: usize, new_shares: &[f64]) -> bool {
         let worse = |location: &usize| self.exceeds(class, Some(*location), self.margin);
         let (bad, good): (Vec<usize>, Vec<usize>) = (0..new_shares.len()).partition(worse);
         let least = bad.iter().map(|&location| new_shares[location]).reduce(f64::min);
-        least.is_some_and(|least| good.iter().any(|&location| new_shares[location] > FEWER * least))
+        least.is_some_and(|least| {
+            good.iter().any(|&location| new_shares[location] > CLEARLY_FEWER_RATIO * least)
+        })
     }
 }
 
