--- a/crates/lab/src/rollouts/plain.rs
+++ b/crates/lab/src/rollouts/plain.rs
@@ -62,7 +62,7 @@
             for (was, is) in before.iter().zip(&counts) {
                 let i = usize::from(is.0 == Release::Old);
                 let sum = |c: &[Counts], of: &dyn Fn(&Counts) -> u64| c.iter().map(of).sum::<u64>() as f64;
-                let asked = sum(&is.1, &|c| c.asked()) - sum(&was.1, &|c| c.asked());
+                let asked = sum(&is.1, &|c| c.requests()) - sum(&was.1, &|c| c.requests());
                 let bad = sum(&is.1, &|c| c.busy + c.failed) - sum(&was.1, &|c| c.busy + c.failed);
                 if asked > 0.0 {
                     let (share, s) = (bad / asked, &mut shares[i]);
--- a/crates/lab/src/rollouts/world.rs
+++ b/crates/lab/src/rollouts/world.rs
@@ -5,7 +5,8 @@
 mod traffic;
 
 use onyxyoke::rollout::{
-    Built, Counts, Event, Found, Front, Health, Plan, ProcessCommand, Reading, Release, Run,
+    Built, Counts, FoundProcesses, Front, Health, Plan, ProcessCommand, ProcessObservation, Reading, Release,
+    Run,
 };
 pub use play::{Script, play};
 use rand::rngs::SmallRng;
@@ -178,8 +179,8 @@
     }
 
     /// Each front's processes as somebody who asks them finds them.
-    pub fn found(&self) -> Vec<Found> {
-        let found = |m: &Machine| Found {
+    pub fn found(&self) -> Vec<FoundProcesses> {
+        let found = |m: &Machine| FoundProcesses {
             runs: m.processes.iter().map(|p| (p.run, p.says())).collect(),
             next: m.next,
         };
@@ -213,7 +214,7 @@
         self.machines[front].processes.iter().any(|p| p.ready)
     }
 
-    fn tell(&mut self, front: usize, order: ProcessCommand, heard: &mut Vec<(usize, Event)>) {
+    fn tell(&mut self, front: usize, order: ProcessCommand, heard: &mut Vec<(usize, ProcessObservation)>) {
         let now = self.now;
         let machine = &mut self.machines[front];
         match order {
@@ -221,7 +222,7 @@
                 machine.next = machine.next.max(run + 1);
                 let fault = machine.faults.pop();
                 if fault == Some(Fault::NotStarted) {
-                    return heard.push((front, Event::NotStarted(run)));
+                    return heard.push((front, ProcessObservation::StartFailed(run)));
                 }
                 let mut process = Process::new(run, side, now);
                 match fault {
@@ -253,10 +254,10 @@
     }
 
     /// What all processes say.
-    fn ask(&self, heard: &mut Vec<(usize, Event)>, readings: &mut Vec<(usize, Reading)>) {
+    fn ask(&self, heard: &mut Vec<(usize, ProcessObservation)>, readings: &mut Vec<(usize, Reading)>) {
         for (front, machine) in self.machines.iter().enumerate() {
             for p in &machine.processes {
-                heard.push((front, Event::Said(p.run, p.says())));
+                heard.push((front, ProcessObservation::Answered(p.run, p.says())));
                 if !p.silent && p.ready {
                     readings.push((front, p.reading.clone()));
                 }
@@ -279,10 +280,10 @@
 
     fn says(&self) -> Health {
         match self.side {
-            _ if self.silent => Health::Silent,
-            _ if !self.ready || self.told.is_some() => Health::No,
-            _ if self.lies => Health::Other,
-            side => Health::Yes(side),
+            _ if self.silent => Health::NoAnswer,
+            _ if !self.ready || self.told.is_some() => Health::NotServing,
+            _ if self.lies => Health::OtherBuild,
+            side => Health::Serving(side),
         }
     }
 }
--- a/crates/lab/src/rollouts/world/play.rs
+++ b/crates/lab/src/rollouts/world/play.rs
@@ -33,7 +33,7 @@
 ) -> RolloutResult {
     let most = plan.spans.longest_s + AFTER_LONGEST;
     let mut player = Player::new(world, plan, script, words, killed);
-    while player.world.now < most && player.controller.ended().is_none() {
+    while player.world.now < most && player.controller.outcome().is_none() {
         player.step(&mut trouble);
     }
     player.result()
@@ -115,8 +115,8 @@
         self.world.pass(&mut heard);
         self.world.ask(&mut heard, &mut readings);
         let now = self.world.now;
-        heard.into_iter().for_each(|(front, event)| self.controller.hear(now, front, event));
-        readings.into_iter().for_each(|(front, reading)| self.controller.read(now, front, reading));
+        heard.into_iter().for_each(|(front, event)| self.controller.handle_observation(now, front, event));
+        readings.into_iter().for_each(|(front, reading)| self.controller.add_reading(now, front, reading));
     }
 
     /// The operators' commands that are due.
@@ -124,7 +124,7 @@
         let now = self.world.now;
         self.words.retain(|&(at, word)| {
             if at <= now {
-                self.controller.say(now, word);
+                self.controller.apply_command(now, word);
             }
             at > now
         });
@@ -134,19 +134,19 @@
     fn act(&mut self) -> bool {
         let mut killed = false;
         let mut heard = Vec::new();
-        for action in self.controller.take() {
+        for action in self.controller.take_actions() {
             killed = self.killed.contains(&self.acts);
             self.acts += 1;
             if killed {
                 break;
             }
             match action {
-                Action::Keep(record) => self.records.push(record),
-                Action::Tell(front, order) => self.world.tell(front, order, &mut heard),
+                Action::WriteRecord(record) => self.records.push(record),
+                Action::RunCommand(front, order) => self.world.tell(front, order, &mut heard),
             }
         }
         let now = self.world.now;
-        heard.into_iter().for_each(|(front, event)| self.controller.hear(now, front, event));
+        heard.into_iter().for_each(|(front, event)| self.controller.handle_observation(now, front, event));
         killed
     }
 
@@ -160,14 +160,14 @@
 
     fn result(mut self) -> RolloutResult {
         // What was told last, and processes that are still to end.
-        for action in self.controller.take() {
-            if let Action::Keep(record) = action {
+        for action in self.controller.take_actions() {
+            if let Action::WriteRecord(record) = action {
                 self.records.push(record);
             }
         }
         let report = self.controller.report(self.world.now);
         RolloutResult {
-            end: self.controller.ended(),
+            end: self.controller.outcome(),
             stage: report.stage,
             why: report.why,
             seconds: self.world.now,
--- a/crates/lab/src/rollouts/world/traffic.rs
+++ b/crates/lab/src/rollouts/world/traffic.rs
@@ -1,7 +1,7 @@
 //! What happens in a step of time: processes get ready and end, requests come, resources are used.
 
 use super::{CLASSES, COLD, Harm, LATE, LOCATIONS, Process, START, STEP, World};
-use onyxyoke::rollout::{Event, Release};
+use onyxyoke::rollout::{ProcessObservation, Release};
 use rand::Rng;
 use rand_distr::{Binomial, Distribution, Poisson};
 
@@ -29,7 +29,7 @@
 
 impl World {
     /// Time passes: requests come, processes get ready and end.
-    pub fn pass(&mut self, heard: &mut Vec<(usize, Event)>) {
+    pub fn pass(&mut self, heard: &mut Vec<(usize, ProcessObservation)>) {
         self.now += STEP;
         let new_shares = self.new_shares();
         for front in 0..self.machines.len() {
@@ -53,14 +53,14 @@
         })
     }
 
-    fn start_and_end_processes(&mut self, front: usize, heard: &mut Vec<(usize, Event)>) {
+    fn start_and_end_processes(&mut self, front: usize, heard: &mut Vec<(usize, ProcessObservation)>) {
         let now = self.now;
         let processes = &mut self.machines[front].processes;
         for process in processes.iter_mut() {
             process.ready |= process.becomes_ready(now);
         }
         let ended = processes.iter().filter(|process| now >= process.ends);
-        heard.extend(ended.map(|process| (front, Event::Ended(process.run))));
+        heard.extend(ended.map(|process| (front, ProcessObservation::Exited(process.run))));
         processes.retain(|process| now < process.ends);
     }
 
@@ -158,7 +158,7 @@
 impl Process {
     /// Whether it is old enough to take clients; one that is silent and never took any does not.
     fn becomes_ready(&self, now: f64) -> bool {
-        let never_asked = self.reading.classes.iter().all(|counts| counts.asked() == 0);
+        let never_asked = self.reading.classes.iter().all(|counts| counts.requests() == 0);
         now - self.began >= START && !(self.silent && never_asked)
     }
 }
--- a/crates/rollout/src/drive.rs
+++ b/crates/rollout/src/drive.rs
@@ -8,8 +8,8 @@
 use indicatif::{ProgressBar, ProgressStyle};
 use nix::sys::signal::Signal;
 use onyxyoke::rollout::{
-    Action, Event, Found, GroupBy, Health, OperatorCommand, Outcome, Plan, ProcessCommand, ProcessEvent,
-    Record, Release, Report, RolloutController, Run,
+    Action, FoundProcesses, GroupBy, Health, OperatorCommand, Outcome, Plan, ProcessCommand, ProcessEvent,
+    ProcessObservation, Record, Release, Report, RolloutController, Run,
 };
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -145,7 +145,7 @@
             process.find_operators_address();
             reports.push((front, run, query(&checked, front, run, process).await));
         }
-        let unknown = reports.iter().find(|r| records.is_empty() && r.2.health == Health::Other);
+        let unknown = reports.iter().find(|r| records.is_empty() && r.2.health == Health::OtherBuild);
         if let Some((front, _, report)) = unknown {
             let (version, expected) = (report.version, checked.digests[*front][0]);
             let running = version.map_or(String::new(), |v| format!(" ({})", v.digests));
@@ -153,17 +153,17 @@
             bail!("front '{name}' runs something else{running} than 'old' and its settings ({expected})");
         }
         let found = found_fronts(&plan, &records, &reports);
-        let old = reports.iter().filter(|r| r.2.health == Health::Yes(Release::Old));
+        let old = reports.iter().filter(|r| r.2.health == Health::Serving(Release::Old));
         let placement_rule = old.filter_map(|r| r.2.version.map(|v| v.placement_rule)).next();
         let mut controller = RolloutController::new(0.0, plan.clone(), found, &records);
         let windows =
             std::fs::OpenOptions::new().create(true).append(true).open(state.join("windows.jsonl"))?;
-        let actions = controller.take();
+        let actions = controller.take_actions();
         let mut pending_commands = Vec::new();
         for action in actions {
             match action {
-                Action::Keep(record) => journal.push(&record),
-                Action::Tell(front, command) => pending_commands.push((front, command)),
+                Action::WriteRecord(record) => journal.push(&record),
+                Action::RunCommand(front, command) => pending_commands.push((front, command)),
             }
         }
         let (in_flight, next_query_at) = (BTreeSet::new(), BTreeMap::new());
@@ -219,8 +219,12 @@
 }
 
 /// The processes that were found, in the controller's form.
-fn found_fronts(plan: &Plan, records: &[Record], reports: &[(usize, Run, ProcessReport)]) -> Vec<Found> {
-    let mut fronts = vec![Found { runs: Vec::new(), next: 2 }; plan.fronts.len()];
+fn found_fronts(
+    plan: &Plan,
+    records: &[Record],
+    reports: &[(usize, Run, ProcessReport)],
+) -> Vec<FoundProcesses> {
+    let mut fronts = vec![FoundProcesses { runs: Vec::new(), next: 2 }; plan.fronts.len()];
     for (front, run, report) in reports {
         fronts[*front].runs.push((*run, report.health));
         fronts[*front].next = fronts[*front].next.max(run + 1);
@@ -249,11 +253,11 @@
 /// halve its hit ratio.
 fn refuse_other_placement(plan: &Plan, placement_rule: Option<u32>, report: &mut ProcessReport) {
     let differs = report.version.is_some_and(|v| placement_rule.is_some_and(|old| old != v.placement_rule));
-    if differs && report.health == Health::Yes(Release::New) && plan.limits.by == GroupBy::Front {
+    if differs && report.health == Health::Serving(Release::New) && plan.limits.by == GroupBy::Front {
         tracing::error!(
             "the new build assigns objects to other home nodes: 'limits.by' has to be \"location\""
         );
-        report.health = Health::Other;
+        report.health = Health::OtherBuild;
     }
 }
 
@@ -294,7 +298,7 @@
                 ));
             }
             // The last records have to be on disk before the tool exits.
-            if let Some(end) = self.controller.ended()
+            if let Some(end) = self.controller.outcome()
                 && self.pending_commands.is_empty()
                 && self.journal.sync().is_ok()
             {
@@ -311,14 +315,14 @@
         if !self.processes.contains_key(&(front, run)) {
             return;
         }
-        if report.health == Health::Yes(Release::Old) {
+        if report.health == Health::Serving(Release::Old) {
             self.placement_rule = self.placement_rule.or(report.version.map(|v| v.placement_rule));
         }
         refuse_other_placement(&self.checked.plan, self.placement_rule, &mut report);
         let now = self.started_at.elapsed().as_secs_f64();
-        self.controller.hear(now, front, Event::Said(run, report.health));
+        self.controller.handle_observation(now, front, ProcessObservation::Answered(run, report.health));
         if let Some(reading) = report.reading {
-            self.controller.read(now, front, reading);
+            self.controller.add_reading(now, front, reading);
         }
     }
 
@@ -334,7 +338,7 @@
         for (front, run) in ended {
             self.processes.remove(&(front, run));
             self.next_query_at.remove(&(front, run));
-            self.controller.hear(now, front, Event::Ended(run));
+            self.controller.handle_observation(now, front, ProcessObservation::Exited(run));
         }
     }
 
@@ -348,7 +352,7 @@
             let command = std::fs::read_to_string(&path).ok().and_then(|t| serde_json::from_str(&t).ok());
             if let Some(command) = command {
                 tracing::info!("operator command: {command:?}");
-                self.controller.say(now, command);
+                self.controller.apply_command(now, command);
                 self.perform_actions();
                 // The file is removed once the command is on disk. Repeating a command changes nothing.
                 if !self.journal.is_synced() {
@@ -362,13 +366,13 @@
     /// Journals the controller's records, then performs its actions. Nothing is done while the journal cannot
     /// be written.
     fn perform_actions(&mut self) {
-        for action in self.controller.take() {
+        for action in self.controller.take_actions() {
             match action {
-                Action::Keep(record) => {
+                Action::WriteRecord(record) => {
                     log_record(&self.checked.plan, &record);
                     self.journal.push(&record);
                 }
-                Action::Tell(front, command) => self.pending_commands.push((front, command)),
+                Action::RunCommand(front, command) => self.pending_commands.push((front, command)),
             }
         }
         if let Err(e) = self.journal.sync() {
@@ -403,7 +407,7 @@
                     Err(e) => {
                         tracing::error!("front '{}': {e:#}", spec.name);
                         let now = self.started_at.elapsed().as_secs_f64();
-                        self.controller.hear(now, front, Event::NotStarted(run));
+                        self.controller.handle_observation(now, front, ProcessObservation::StartFailed(run));
                     }
                 }
             }
--- a/crates/rollout/src/file.rs
+++ b/crates/rollout/src/file.rs
@@ -5,7 +5,7 @@
 use anyhow::{Context, Result, bail};
 use onyxyoke::config;
 use onyxyoke::net::admin::program_digest;
-use onyxyoke::rollout::{Front, GroupBy, MixingRule, Placement, Plan, Release, mixing, stages};
+use onyxyoke::rollout::{Front, GroupBy, MixingRule, Placement, Plan, Release, mixing_rule, stages};
 use std::collections::BTreeMap;
 use std::path::Path;
 
@@ -47,7 +47,7 @@
         };
         let (before, after) = (parse("settings", old)?, parse("new_settings", new)?);
         for key in before.changed_keys(&after) {
-            let rule = mixing(&key);
+            let rule = mixing_rule(&key);
             changed.insert(key, rule);
         }
         let release_digests = |i: usize, loaded: &config::LoadedSettings| ReleaseDigests {
@@ -63,7 +63,7 @@
                     "the setting '{key}' is who a front is, or where clients reach it: it can't be rolled out"
                 )
             }
-            MixingRule::AtOnce if plan.limits.by != GroupBy::Location => bail!(
+            MixingRule::WholeLocation if plan.limits.by != GroupBy::Location => bail!(
                 "the setting '{key}' must be the same at all fronts of a location: 'limits.by' has to be \"location\""
             ),
             rule if plan.limits.reload && *rule != MixingRule::Reload => {
--- a/crates/rollout/src/host.rs
+++ b/crates/rollout/src/host.rs
@@ -255,9 +255,9 @@
             |release: Release| self.version.digests == digests[usize::from(release == Release::New)];
         let other = if release == Release::New { Release::Old } else { Release::New };
         match () {
-            () if reports(release) => Health::Yes(release),
-            () if reports(other) => Health::Yes(other),
-            () => Health::Other,
+            () if reports(release) => Health::Serving(release),
+            () if reports(other) => Health::Serving(other),
+            () => Health::OtherBuild,
         }
     }
 }
@@ -285,13 +285,13 @@
 ) -> ProcessReport {
     let report = |health| ProcessReport { health, reading: None, version: None };
     // The process does not listen yet.
-    let Some(operators) = operators else { return report(Health::No) };
+    let Some(operators) = operators else { return report(Health::NotServing) };
     let answers = match query_answers(operators).await {
         Ok(Some(answers)) => answers,
-        Ok(None) => return report(Health::No),
+        Ok(None) => return report(Health::NotServing),
         Err(error) => {
             tracing::debug!("process {run} at {operators}: {error:#}");
-            return report(Health::Silent);
+            return report(Health::NoAnswer);
         }
     };
     let classes: Option<Vec<Counts>> = classes.iter().map(|class| answers.counts(class)).collect();
--- a/crates/rollout/src/host/tests.rs
+++ b/crates/rollout/src/host/tests.rs
@@ -79,7 +79,7 @@
 
 #[track_caller]
 fn assert_silent(report: &ProcessReport, answer: &str) {
-    assert_eq!(report.health, Health::Silent, "of {answer:?}");
+    assert_eq!(report.health, Health::NoAnswer, "of {answer:?}");
     assert!(report.reading.is_none(), "a reading of {answer:?}");
     assert!(report.version.is_none(), "a version of {answer:?}");
 }
@@ -87,7 +87,7 @@
 #[test]
 fn complete_answers_give_a_reading() {
     let report = Answers::complete().report();
-    assert_eq!(report.health, Health::Yes(Release::Old));
+    assert_eq!(report.health, Health::Serving(Release::Old));
     assert_eq!(report.version, Some(Version { digests: DIGESTS, placement_rule: 2, pid: 4711 }));
     let counts = &report.reading.expect("a reading").classes[0];
     let read = [counts.served, counts.busy, counts.failed, counts.calls, counts.slow];
@@ -133,11 +133,11 @@
 fn complete_refusal_means_unhealthy() {
     let mut answers = Answers::complete();
     answers.health = "fail no: this process takes no clients now\n".into();
-    assert_eq!(answers.report().health, Health::No);
+    assert_eq!(answers.report().health, Health::NotServing);
     // A build without the query `slow` still reports its health.
     let answers = Answers { slow: REFUSAL.into(), ..Answers::complete() };
     let report = answers.report();
-    assert_eq!(report.health, Health::Yes(Release::Old));
+    assert_eq!(report.health, Health::Serving(Release::Old));
     assert!(report.reading.is_none());
 }
 
--- a/crates/rollout/src/report.rs
+++ b/crates/rollout/src/report.rs
@@ -2,7 +2,7 @@
 
 use crate::drive::StatusSample;
 use anyhow::{Context, Result};
-use onyxyoke::rollout::{COUNTED, Plan, ProcessEvent, Record, Release};
+use onyxyoke::rollout::{CLASS_MEASURES, Plan, ProcessEvent, Record, Release};
 use plotters::prelude::*;
 use std::fmt::Write;
 use std::path::Path;
@@ -95,7 +95,7 @@
     page += &plot("fronts", &fronts)?;
     let mut evidence = vec![("stops it".to_owned(), over_time(&|m| m.report.bound))];
     for (i, class) in plan.classes.iter().enumerate() {
-        for (j, measure) in COUNTED.into_iter().enumerate() {
+        for (j, measure) in CLASS_MEASURES.into_iter().enumerate() {
             let line = over_time(&|m| m.report.evidence.get(i).map_or(0.0, |e| e[j].max(-2.0)));
             evidence.push((format!("{class}, {measure:?}").to_lowercase(), line));
         }
--- a/src/rollout/change.rs
+++ b/src/rollout/change.rs
@@ -19,24 +19,24 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Health {
     /// It accepts clients and reports that it runs this release.
-    Yes(Release),
+    Serving(Release),
     /// It accepts clients but runs neither release.
-    Other,
+    OtherBuild,
     /// It accepts no clients at present.
-    No,
+    NotServing,
     /// It does not answer in time.
-    Silent,
+    NoAnswer,
 }
 
 /// An observation of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Event {
+pub enum ProcessObservation {
     /// A health check was answered or timed out.
-    Said(Run, Health),
+    Answered(Run, Health),
     /// The process could not be started.
-    NotStarted(Run),
+    StartFailed(Run),
     /// The process exited.
-    Ended(Run),
+    Exited(Run),
 }
 
 /// A command to start, signal or reload a process.
@@ -181,7 +181,7 @@
         next: Run,
         commands: &mut Vec<ProcessCommand>,
     ) -> Change {
-        let reported = |h: Health| if let Health::Yes(release) = h { Some(release) } else { None };
+        let reported = |h: Health| if let Health::Serving(release) = h { Some(release) } else { None };
         let mut change = Change { next, serving: None, ..Change::new(timeouts, reload, 0, Release::Old) };
         match *runs {
             [] => change.restart_front(now, 0, commands),
@@ -307,13 +307,17 @@
     pub fn handle_observation(
         &mut self,
         now: f64,
-        event: Event,
+        event: ProcessObservation,
         commands: &mut Vec<ProcessCommand>,
         events: &mut Vec<ProcessEvent>,
     ) {
         match event {
-            Event::Said(run, health) => self.handle_answer(now, run, health, commands, events),
-            Event::NotStarted(run) | Event::Ended(run) => self.handle_exit(now, run, commands, events),
+            ProcessObservation::Answered(run, health) => {
+                self.handle_answer(now, run, health, commands, events)
+            }
+            ProcessObservation::StartFailed(run) | ProcessObservation::Exited(run) => {
+                self.handle_exit(now, run, commands, events)
+            }
         }
     }
 
@@ -327,13 +331,13 @@
     ) {
         if self.serving.is_some_and(|s| s.0 == run) {
             match health {
-                Health::Silent | Health::No => _ = self.silent_since.get_or_insert(now),
+                Health::NoAnswer | Health::NotServing => _ = self.silent_since.get_or_insert(now),
                 _ => self.silent_since = None,
             }
         }
         match self.phase {
             ChangePhase::Starting { next, target, since, ready_since } if next == run => match health {
-                Health::Yes(release) if release == target => {
+                Health::Serving(release) if release == target => {
                     let from = *ready_since.as_ref().unwrap_or(&now);
                     if now - from < self.timeouts.steady_s
                         || ready_since.is_none() && self.timeouts.steady_s > 0.0
@@ -356,13 +360,13 @@
                         }
                     }
                 }
-                Health::Yes(_) | Health::Other => self.withdraw(now, next, target, commands),
-                Health::No | Health::Silent => {
+                Health::Serving(_) | Health::OtherBuild => self.withdraw(now, next, target, commands),
+                Health::NotServing | Health::NoAnswer => {
                     self.phase = ChangePhase::Starting { next, target, since, ready_since: None }
                 }
             },
             ChangePhase::Down { next, .. } if next == run => {
-                if let Health::Yes(release) = health {
+                if let Health::Serving(release) = health {
                     self.serving = Some((next, release));
                     self.phase = ChangePhase::Settled;
                     events.push(ProcessEvent::Changed(release));
@@ -370,7 +374,7 @@
             }
             ChangePhase::Reloading { target, reverting, .. } if self.serving.is_some_and(|s| s.0 == run) => {
                 let wanted = if reverting { self.serving.map_or(Release::Old, |s| s.1) } else { target };
-                if health == Health::Yes(wanted) {
+                if health == Health::Serving(wanted) {
                     self.phase = ChangePhase::Settled;
                     self.serving = Some((run, wanted));
                     events.push(if reverting {
--- a/src/rollout/controller/mod.rs
+++ b/src/rollout/controller/mod.rs
@@ -7,12 +7,12 @@
 mod report;
 mod rollback;
 
-use super::change::{Change, Event, Health, ProcessCommand, ProcessEvent, Release, Run};
+use super::change::{Change, Health, ProcessCommand, ProcessEvent, ProcessObservation, Release, Run};
 use super::fleet_health::{FleetHealth, HealthChange};
 use super::gate::{Gate, Verdict};
 use super::plan::{GroupBy, Plan};
 use super::readings::{Delta, Reading, Series};
-use super::records::{Action, Found, OperatorCommand, Outcome, Record};
+use super::records::{Action, FoundProcesses, OperatorCommand, Outcome, Record};
 use super::stages::Stage;
 use super::window::ClassCounts;
 pub use report::Report;
@@ -101,7 +101,7 @@
 impl RolloutController {
     /// Creates the controller of a checked plan from the processes found, and continues from `records` if
     /// there are any.
-    pub fn new(now: f64, plan: Plan, found: Vec<Found>, records: &[Record]) -> RolloutController {
+    pub fn new(now: f64, plan: Plan, found: Vec<FoundProcesses>, records: &[Record]) -> RolloutController {
         let (locations, location_count) = plan.locations();
         // The release that each process was last started or reloaded with; one that does not answer is taken
         // to run it.
@@ -212,22 +212,22 @@
     }
 
     fn push_record(&mut self, record: Record) {
-        self.actions.push(Action::Keep(record));
+        self.actions.push(Action::WriteRecord(record));
     }
 
     /// Records a command before it is carried out.
     fn push_command(&mut self, front: usize, command: ProcessCommand) {
         self.push_record(Record::Ordered { front, order: command });
-        self.actions.push(Action::Tell(front, command));
+        self.actions.push(Action::RunCommand(front, command));
     }
 
     /// Takes the actions to be carried out, in order.
-    pub fn take(&mut self) -> Vec<Action> {
+    pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
     /// Returns the outcome, if the rollout has ended.
-    pub fn ended(&self) -> Option<Outcome> {
+    pub fn outcome(&self) -> Option<Outcome> {
         if let Phase::Ended(end) = self.phase { Some(end) } else { None }
     }
 
@@ -242,8 +242,8 @@
     }
 
     /// Handles an observation of a process.
-    pub fn hear(&mut self, now: f64, front: usize, event: Event) {
-        if let Event::Said(run, health) = event
+    pub fn handle_observation(&mut self, now: f64, front: usize, event: ProcessObservation) {
+        if let ProcessObservation::Answered(run, health) = event
             && self.fronts[front].change.serving().is_some_and(|s| s.0 == run)
         {
             self.fronts[front].reported_health = Some(health);
@@ -254,7 +254,7 @@
     }
 
     /// Adds a reading of a process's counters; one of a process that does not serve is ignored.
-    pub fn read(&mut self, now: f64, front: usize, reading: Reading) {
+    pub fn add_reading(&mut self, now: f64, front: usize, reading: Reading) {
         let stale = self.plan.spans.stale_s;
         let state = &mut self.fronts[front];
         if state.change.serving().is_some_and(|s| s.0 == reading.run) {
@@ -267,8 +267,8 @@
     }
 
     /// Applies an operator's command; one that has no effect is not recorded.
-    pub fn say(&mut self, now: f64, command: OperatorCommand) {
-        if self.ended().is_some() {
+    pub fn apply_command(&mut self, now: f64, command: OperatorCommand) {
+        if self.outcome().is_some() {
             return;
         }
         match command {
@@ -326,7 +326,7 @@
         if gap > MAX_STEP_GAP_S {
             self.exclude_gap(gap);
         }
-        if self.ended().is_some() {
+        if self.outcome().is_some() {
             return;
         }
         for front in 0..self.fronts.len() {
--- a/src/rollout/controller/observation.rs
+++ b/src/rollout/controller/observation.rs
@@ -21,7 +21,7 @@
                 .iter()
                 .take(classes)
                 .map(|c| ClassCounts {
-                    requests: c.asked() as f64,
+                    requests: c.requests() as f64,
                     unserved: (c.busy + c.failed) as f64,
                     retries: c.calls.saturating_sub(c.served + c.failed) as f64,
                     slow: c.slow as f64,
@@ -39,7 +39,7 @@
             let (true, Some((run, release))) = (state.change.settled(), state.change.serving()) else {
                 continue;
             };
-            if state.reported_health != Some(Health::Yes(release)) {
+            if state.reported_health != Some(Health::Serving(release)) {
                 continue;
             }
             let Some(last) = state.series.latest(now, stale) else { continue };
--- a/src/rollout/controller/report.rs
+++ b/src/rollout/controller/report.rs
@@ -2,7 +2,7 @@
 
 use super::{Phase, RolloutController};
 use crate::rollout::change::{ChangePhase, Release};
-use crate::rollout::gate::{COUNTED, Undecided};
+use crate::rollout::gate::{CLASS_MEASURES, Undecided};
 use crate::rollout::records::Outcome;
 use crate::rollout::window::ClassCounts;
 
@@ -35,8 +35,8 @@
     pub why: Option<String>,
     /// The outcome, once the rollout has ended.
     pub end: Option<Outcome>,
-    /// Logarithms of the likelihood ratios by class, for each of `COUNTED`.
-    pub evidence: Vec<[f64; COUNTED.len()]>,
+    /// Logarithms of the likelihood ratios by class, for each of `CLASS_MEASURES`.
+    pub evidence: Vec<[f64; CLASS_MEASURES.len()]>,
     /// Evidence above this bound stops the rollout.
     pub bound: f64,
     /// Requests of this stage and how many of them were not served, of new and of old fronts, by class.
@@ -79,7 +79,7 @@
             held: self.fleet_health.is_degraded(),
             undecided,
             why: self.rollback_reason.clone(),
-            end: self.ended(),
+            end: self.outcome(),
             evidence,
             bound,
             sums: self.stage_counts.iter().map(pair).collect(),
--- a/src/rollout/gate.rs
+++ b/src/rollout/gate.rs
@@ -39,7 +39,7 @@
 }
 
 /// Measures that are compared by class.
-pub const COUNTED: [Measure; 3] = [Measure::Unserved, Measure::Retries, Measure::Slow];
+pub const CLASS_MEASURES: [Measure; 3] = [Measure::Unserved, Measure::Retries, Measure::Slow];
 /// Weight of the prior assumption that events are independent (dispersion 1), in degrees of freedom.
 const DISPERSION_PRIOR: f64 = 20.0;
 /// Bad events of one front in one window that count in any case. Events beyond this and `COUNTED_TIMES_USUAL`
@@ -138,7 +138,7 @@
 pub struct Gate {
     settings: Gates,
     stages: usize,
-    comparisons: Vec<[MeasureComparison; COUNTED.len()]>,
+    comparisons: Vec<[MeasureComparison; CLASS_MEASURES.len()]>,
     /// When the stage began, and its expected length (seconds).
     started_at: f64,
     soak_s: f64,
@@ -199,7 +199,7 @@
 
     /// Returns the logarithms of the likelihood ratios by class and measure, and the bound above which they
     /// stop.
-    pub fn evidence(&self) -> (Vec<[f64; COUNTED.len()]>, f64) {
+    pub fn evidence(&self) -> (Vec<[f64; CLASS_MEASURES.len()]>, f64) {
         (
             self.comparisons
                 .iter()
@@ -211,7 +211,7 @@
 
     /// Returns the bound on the evidence: the probability of a false stop is divided among all comparisons.
     fn bound(&self) -> f64 {
-        ((self.comparisons.len() * COUNTED.len() * self.stages) as f64 / self.settings.false_stop).ln()
+        ((self.comparisons.len() * CLASS_MEASURES.len() * self.stages) as f64 / self.settings.false_stop).ln()
     }
 
     /// Adds what fronts did over the same window. `old_left` holds by location whether any front still runs
@@ -225,7 +225,7 @@
             + (((now - self.started_at) / self.soak_s * EVIDENCE_STARTS as f64) as usize)
                 .min(EVIDENCE_STARTS - 1);
         for (class, comparisons) in self.comparisons.iter_mut().enumerate() {
-            for (comparison, measure) in comparisons.iter_mut().zip(COUNTED) {
+            for (comparison, measure) in comparisons.iter_mut().zip(CLASS_MEASURES) {
                 comparison.observe(cohorts.values(), measure, class, active_starts);
             }
             for (cohort, fronts) in &cohorts {
@@ -243,7 +243,7 @@
     pub fn verdict(&self, now: f64) -> Verdict {
         let bound = self.bound();
         for (class, comparisons) in self.comparisons.iter().enumerate() {
-            for (comparison, measure) in comparisons.iter().zip(COUNTED) {
+            for (comparison, measure) in comparisons.iter().zip(CLASS_MEASURES) {
                 let by = comparison.log_ratio();
                 if by > bound {
                     return Verdict::Worse { measure, class: Some(class), by, bound };
--- a/src/rollout/mod.rs
+++ b/src/rollout/mod.rs
@@ -16,14 +16,15 @@
 mod window;
 
 pub use change::{
-    Change, ChangePhase, ChangeTimeouts, Event, Health, ProcessCommand, ProcessEvent, Release, Run,
+    Change, ChangePhase, ChangeTimeouts, Health, ProcessCommand, ProcessEvent, ProcessObservation, Release,
+    Run,
 };
 pub use controller::{Report, RolloutController};
 pub use evidence::{Evidence, binomial_tail};
-pub use gate::{COUNTED, Gate, Undecided, Verdict};
-pub use plan::{Built, Front, Gates, GroupBy, Limits, MixingRule, Plan, Timeouts, mixing};
+pub use gate::{CLASS_MEASURES, Gate, Undecided, Verdict};
+pub use plan::{Built, Front, Gates, GroupBy, Limits, MixingRule, Plan, Timeouts, mixing_rule};
 pub use readings::{Counts, Delta, Reading, Series};
-pub use records::{Action, Found, OperatorCommand, Outcome, Record};
+pub use records::{Action, FoundProcesses, OperatorCommand, Outcome, Record};
 pub use stages::{Placement, Stage, stages};
 pub use usage::{UsageBaseline, UsageComparison};
 pub use window::{ClassCounts, Measure, Window};
--- a/src/rollout/plan.rs
+++ b/src/rollout/plan.rs
@@ -276,13 +276,13 @@
     Mixed,
     /// Fronts of one location must have the same value, so that each object has one home and budgets that
     /// fronts share add up; whole locations are changed at once.
-    AtOnce,
+    WholeLocation,
     /// Cannot be rolled out: it identifies the front or is the address at which clients reach it.
     Never,
 }
 
 /// Returns how a settings key may be rolled out. Keys are dotted paths, as a reload reports them.
-pub fn mixing(key: &str) -> MixingRule {
+pub fn mixing_rule(key: &str) -> MixingRule {
     let under = |names: &[&str]| {
         names.iter().any(|n| key == *n || key.strip_prefix(n).is_some_and(|rest| rest.starts_with('.')))
     };
@@ -297,7 +297,7 @@
     if under(&["admin_addr", "limits", "signed", "xds", "teams", "settings.caps", "settings.prices"]) {
         return MixingRule::Mixed;
     }
-    MixingRule::AtOnce
+    MixingRule::WholeLocation
 }
 
 #[cfg(test)]
@@ -358,13 +358,13 @@
             ("coordinator", MixingRule::Reload),
             ("limits.sockets", MixingRule::Mixed),
             ("settings.caps.connect-timeout", MixingRule::Mixed),
-            ("settings.fleet-size", MixingRule::AtOnce),
-            ("settings.specifics.count-by-zone", MixingRule::AtOnce),
-            ("settings.invariants.cold", MixingRule::AtOnce),
+            ("settings.fleet-size", MixingRule::WholeLocation),
+            ("settings.specifics.count-by-zone", MixingRule::WholeLocation),
+            ("settings.invariants.cold", MixingRule::WholeLocation),
             ("listen", MixingRule::Never),
             ("settings.me", MixingRule::Never),
         ] {
-            assert_eq!(mixing(key), how, "{key}");
+            assert_eq!(mixing_rule(key), how, "{key}");
         }
     }
 }
--- a/src/rollout/readings.rs
+++ b/src/rollout/readings.rs
@@ -17,7 +17,7 @@
 
 impl Counts {
     /// Returns the requests that ended.
-    pub fn asked(&self) -> u64 {
+    pub fn requests(&self) -> u64 {
         self.served + self.busy + self.failed
     }
 
--- a/src/rollout/records.rs
+++ b/src/rollout/records.rs
@@ -97,14 +97,14 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Append a record to the journal.
-    Keep(Record),
+    WriteRecord(Record),
     /// Carry out a command on a process of the front with this index.
-    Tell(usize, ProcessCommand),
+    RunCommand(usize, ProcessCommand),
 }
 
 /// Processes of a front found when the controller starts.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Found {
+pub struct FoundProcesses {
     /// Number and health of each process, the oldest first.
     pub runs: Vec<(Run, Health)>,
     /// The first number that no process has had.
