--- a/crates/lab/src/soak/clients.rs
+++ b/crates/lab/src/soak/clients.rs
@@ -1,9 +1,9 @@
-//! Clients of the first front: usual ones, which count what they are answered and check every byte, and bad ones.
+//! Clients of the front: regular ones, which count their answers and check every byte, and misbehaving ones.
 
 use crate::connection::ClientConnection;
 use crate::paced::PacedReader;
 use hdrhistogram::Histogram;
-use onyxyoke_stand_ins::{LARGEST, body, row};
+use onyxyoke_stand_ins::{MAX_OBJECT_BYTES, row_with_length, write_body};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use std::cell::{Cell, RefCell};
@@ -16,21 +16,23 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// Connections of usual clients, and requests that one has open at most.
+/// Connections of regular clients.
 const CONNECTIONS: usize = 24;
-const OPEN: usize = 16;
-/// Objects that are asked for again and again.
-const POPULAR: u64 = 3_000;
-/// An answer that comes so much after the client's time is late (seconds).
-const LATE: f64 = 0.25;
-/// A request that crosses the close of its connection was sent so much before it at most (seconds).
-const CROSSED: f64 = 0.05;
-/// Others are being refused until so long after the last of them was.
-const REFUSING: Duration = Duration::from_millis(500);
-/// Requests of one burst of aborts.
-const BURST: usize = 200;
+/// Maximum number of open requests on a connection.
+const MAX_OPEN_REQUESTS: usize = 16;
+/// Number of objects that are requested repeatedly.
+const POPULAR_OBJECTS: u64 = 3_000;
+/// An answer that arrives this long after the client's patience has expired counts as late.
+const LATE_SECONDS: f64 = 0.25;
+/// A request sent at most this long before its connection closed counts as crossing the close, and is
+/// retried.
+const CLOSE_RACE_SECONDS: f64 = 0.05;
+/// A hold sent within this time after a refusal in another class counts as sent while others are refused.
+const REFUSAL_WINDOW: Duration = Duration::from_millis(500);
+/// Number of requests in one burst of aborted requests.
+const ABORT_BURST: usize = 200;
 
-/// The classes of the example's settings.
+/// The classes of the example settings.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Class {
     Media,
@@ -41,20 +43,21 @@
 impl Class {
     pub const ALL: [Class; 3] = [Class::Media, Class::Pages, Class::Holds];
 
-    /// Its name on the wire.
+    /// The name on the wire.
     pub fn name(self) -> &'static str {
         ["media", "pages", "holds"][self as usize]
     }
 
-    /// How long its clients wait (seconds).
+    /// How long its clients wait, in seconds.
     fn patience(self) -> f64 {
         [5.0, 3.0, 3.0][self as usize]
     }
 }
 
-/// What became of the requests of one class.
+/// Request counts of one class, by outcome.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Counts {
+    /// Requests sent and not aborted.
     pub asked: u64,
     pub served: u64,
     pub refused: u64,
@@ -62,58 +65,67 @@
     pub aborted: u64,
 }
 
+/// A request that was sent.
 struct Sent {
     class: Class,
     row: u64,
     at: Instant,
     aborted: bool,
-    again: bool,
+    retried: bool,
 }
 
-/// A request, one that is sent again, or one that is taken back at once.
+/// Whether a request is regular, a retry, or aborted at once.
 #[derive(Clone, Copy, PartialEq)]
-enum Kind {
-    Usual,
-    Again,
+enum RequestKind {
+    Regular,
+    Retry,
     Aborted,
 }
 
-/// A connection of a usual client.
-type Line = ClientConnection<Sent>;
+/// A connection of a regular client.
+type Connection = ClientConnection<Sent>;
 
-/// All clients. What the bad ones do is set from outside.
+/// All clients. The soak sets the load and the number of misbehaving clients.
 pub struct Clients {
     front: SocketAddr,
     rate: f64,
     random: RefCell<StdRng>,
-    lines: RefCell<Vec<Rc<Line>>>,
+    connections: RefCell<Vec<Rc<Connection>>>,
     counts: RefCell<[Counts; 3]>,
     running: Cell<bool>,
-    fresh: Cell<u64>,
-    /// Share of oversized objects, and of those that are wanted once.
+    /// Number of the next object that is requested once.
+    next_object: Cell<u64>,
+    /// Share of requests for oversized objects.
     pub oversized: Cell<f64>,
+    /// Share of requests for objects that are requested once.
     pub one_time: Cell<f64>,
-    /// Load, in times the usual.
+    /// Factor on the request rate.
     pub load: Cell<f64>,
-    /// How many connections of each kind are kept up.
+    /// Connections of clients that hardly read.
     pub slow_readers: Cell<usize>,
-    pub rude: Cell<usize>,
+    /// Connections of clients that send malformed or incomplete requests.
+    pub malformed: Cell<usize>,
+    /// Connections of clients that send large bodies and hardly read.
     pub flood: Cell<usize>,
+    /// Whether bursts of aborted requests are sent.
     pub aborts: Cell<bool>,
-    /// Violations: answers that nobody asked for, requests whose connection ended without one, answers that came
-    /// late, bytes that are not the object's.
-    pub second: Cell<u64>,
+    /// Violation: answers without an open request.
+    pub unexpected: Cell<u64>,
+    /// Violation: requests whose connection ended without an answer.
     pub lost: Cell<u64>,
+    /// Violation: answers after the client's patience.
     pub late: Cell<u64>,
-    pub spoilt: Cell<u64>,
-    /// When another request than a hold was last refused; holds that were asked and served about such a time.
+    /// Violation: answers with other bytes than the object's.
+    pub corrupted: Cell<u64>,
+    /// When a request of a class other than holds was last refused.
     refused_at: Cell<Instant>,
+    /// Holds sent, and holds served, within `REFUSAL_WINDOW` of such a refusal.
     pub holds_while_refusing: Cell<(u64, u64)>,
-    /// Milliseconds to a served answer.
+    /// Latency of served answers in milliseconds.
     pub latency: RefCell<Histogram<u64>>,
 }
 
-fn count(cell: &Cell<u64>) {
+fn increment(cell: &Cell<u64>) {
     cell.set(cell.get() + 1);
 }
 
@@ -124,101 +136,105 @@
             front,
             rate,
             random: RefCell::new(StdRng::seed_from_u64(seed ^ 0xc11e)),
-            lines: RefCell::default(),
+            connections: RefCell::default(),
             counts: RefCell::default(),
             running: Cell::new(true),
-            fresh: Cell::new(POPULAR),
+            next_object: Cell::new(POPULAR_OBJECTS),
             oversized: Cell::default(),
             one_time: Cell::new(0.02),
             load: Cell::new(1.0),
             slow_readers: Cell::default(),
-            rude: Cell::default(),
+            malformed: Cell::default(),
             flood: Cell::default(),
             aborts: Cell::default(),
-            second: Cell::default(),
+            unexpected: Cell::default(),
             lost: Cell::default(),
             late: Cell::default(),
-            spoilt: Cell::default(),
+            corrupted: Cell::default(),
             refused_at: Cell::new(Instant::now()),
             holds_while_refusing: Cell::default(),
             latency: RefCell::new(latency.expect("bounds that fit")),
         })
     }
 
+    /// Returns the counts of a class.
     pub fn counts(&self, class: Class) -> Counts {
         self.counts.borrow()[class as usize]
     }
 
-    /// Requests of usual clients that have no answer yet.
+    /// Returns the number of requests of regular clients without an answer.
     pub fn pending(&self) -> usize {
-        let owed = |l: &Rc<Line>| l.open.borrow().values().filter(|s| !s.aborted).count();
-        self.lines.borrow().iter().map(owed).sum()
+        let unanswered = |l: &Rc<Connection>| l.open.borrow().values().filter(|s| !s.aborted).count();
+        self.connections.borrow().iter().map(unanswered).sum()
     }
 
-    /// The object of this place in the order of popularity.
-    pub fn popular(&self, place: u64) -> u64 {
-        let number = place % POPULAR + 1;
+    /// Returns the object at this rank of popularity.
+    pub fn popular(&self, rank: u64) -> u64 {
+        let number = rank % POPULAR_OBJECTS + 1;
         let length = 4_000 + number.wrapping_mul(2_654_435_761) % 44_000;
-        row(number, length as usize)
+        row_with_length(number, length as usize)
     }
 
     fn chance(&self, share: f64) -> bool {
         share > 0.0 && self.random.borrow_mut().random_bool(share.min(1.0))
     }
 
+    /// Draws the class and object of a request.
     fn draw(&self) -> (Class, u64) {
         let mut random = self.random.borrow_mut();
         let class = match random.random_range(0.0..1.0) {
-            u if u < 0.56 => Class::Media,
-            u if u < 0.97 => Class::Pages,
+            draw if draw < 0.56 => Class::Media,
+            draw if draw < 0.97 => Class::Pages,
             _ => Class::Holds,
         };
-        // Popularity falls off evenly on a logarithmic scale.
-        let place = (POPULAR as f64).powf(random.random_range(0.0..1.0)) as u64 - 1;
+        // The rank is uniform on a logarithmic scale.
+        let rank = (POPULAR_OBJECTS as f64).powf(random.random_range(0.0..1.0)) as u64 - 1;
         let (large, once) =
             (random.random_bool(self.oversized.get()), random.random_bool(self.one_time.get()));
         if !large && !once {
-            return (class, self.popular(place));
+            return (class, self.popular(rank));
         }
-        let number = self.fresh.replace(self.fresh.get() + 1);
+        let number = self.next_object.replace(self.next_object.get() + 1);
         let times = if large { random.random_range(5.4..28.0) } else { 1.0 };
-        (class, row(number, ((20_000.0 * times) as usize).min(LARGEST)))
+        (class, row_with_length(number, ((20_000.0 * times) as usize).min(MAX_OBJECT_BYTES)))
     }
 
-    /// Starts all of them.
+    /// Starts all clients.
     pub fn start(self: &Rc<Self>) {
         for _ in 0..CONNECTIONS {
-            spawn_local(self.clone().connection());
+            spawn_local(self.clone().keep_connected());
         }
         spawn_local(self.clone().arrivals());
-        for (i, kind) in [Misbehavior::Slow, Misbehavior::Rude, Misbehavior::Flood].into_iter().enumerate() {
-            for place in 0..64 {
-                spawn_local(self.clone().bad(kind, place, i as u64 * 100 + place as u64));
+        for (i, kind) in
+            [Misbehavior::SlowReader, Misbehavior::Malformed, Misbehavior::Flood].into_iter().enumerate()
+        {
+            for slot in 0..64 {
+                spawn_local(self.clone().run_misbehaving(kind, slot, i as u64 * 100 + slot as u64));
             }
         }
     }
 
-    /// Nothing more is asked.
+    /// Stops sending requests.
     pub fn stop(&self) {
         self.running.set(false);
     }
 
-    /// Keeps one connection up.
-    async fn connection(self: Rc<Self>) {
+    /// Keeps one connection of a regular client open.
+    async fn keep_connected(self: Rc<Self>) {
         while self.running.get() {
-            let Ok((line, read)) = Line::connect(self.front, None).await else {
+            let Ok((connection, read)) = Connection::connect(self.front, None).await else {
                 sleep(Duration::from_millis(50)).await;
                 continue;
             };
-            self.lines.borrow_mut().push(line.clone());
-            let _ = self.read(read, &line).await;
-            line.ended.set(true);
-            self.lines.borrow_mut().retain(|l| !Rc::ptr_eq(l, &line));
-            for sent in line.open.take().into_values().filter(|s| !s.aborted) {
-                // A front may close a connection that nothing is open on; what crosses that is sent again, once.
-                let crossed = sent.at.elapsed().as_secs_f64() < CROSSED && !sent.again;
-                if !crossed {
-                    count(&self.lost);
+            self.connections.borrow_mut().push(connection.clone());
+            let _ = self.read(read, &connection).await;
+            connection.ended.set(true);
+            self.connections.borrow_mut().retain(|l| !Rc::ptr_eq(l, &connection));
+            for sent in connection.open.take().into_values().filter(|s| !s.aborted) {
+                // A front may close an idle connection; a request that crosses the close is retried once.
+                let close_race = sent.at.elapsed().as_secs_f64() < CLOSE_RACE_SECONDS && !sent.retried;
+                if !close_race {
+                    increment(&self.lost);
                     eprintln!(
                         "onyxyoke-lab: a connection ended with a request open for {:?}",
                         sent.at.elapsed()
@@ -226,27 +242,27 @@
                     continue;
                 }
                 self.counts.borrow_mut()[sent.class as usize].asked -= 1;
-                spawn_local(self.clone().ask(sent.class, sent.row, Kind::Again));
+                spawn_local(self.clone().ask(sent.class, sent.row, RequestKind::Retry));
             }
         }
     }
 
-    /// Reads answers until the connection ends.
-    async fn read(&self, read: PacedReader, line: &Line) -> io::Result<()> {
-        let (mut read, mut wanted) = (BufReader::new(read), Vec::new());
+    /// Reads and checks answers until the connection ends.
+    async fn read(&self, read: PacedReader, connection: &Connection) -> io::Result<()> {
+        let (mut read, mut expected) = (BufReader::new(read), Vec::new());
         loop {
             let [tag, word, _, bytes] = answer(&mut read).await?;
             let tag = String::from_utf8_lossy(&tag).parse().unwrap_or(0);
-            let Some(sent) = line.open.borrow_mut().remove(&tag) else {
-                count(&self.second);
+            let Some(sent) = connection.open.borrow_mut().remove(&tag) else {
+                increment(&self.unexpected);
                 continue;
             };
             if sent.aborted {
                 continue;
             }
             let took = sent.at.elapsed().as_secs_f64();
-            if took > sent.class.patience() + LATE {
-                count(&self.late);
+            if took > sent.class.patience() + LATE_SECONDS {
+                increment(&self.late);
             }
             let mut counts = self.counts.borrow_mut();
             let counts = &mut counts[sent.class as usize];
@@ -255,11 +271,11 @@
                     counts.served += 1;
                     let _ = self.latency.borrow_mut().record((took * 1000.0) as u64);
                     match sent.class {
-                        Class::Holds => wanted = b"held".to_vec(),
-                        _ => body(sent.row, &mut wanted),
+                        Class::Holds => expected = b"held".to_vec(),
+                        _ => write_body(sent.row, &mut expected),
                     }
-                    if bytes != wanted {
-                        count(&self.spoilt);
+                    if bytes != expected {
+                        increment(&self.corrupted);
                     }
                 }
                 b"full" => {
@@ -271,49 +287,53 @@
                 _ => counts.failed += 1,
             }
             let (asked, served) = self.holds_while_refusing.get();
-            if sent.class == Class::Holds && self.refused_at.get() + REFUSING > sent.at {
+            if sent.class == Class::Holds && self.refused_at.get() + REFUSAL_WINDOW > sent.at {
                 self.holds_while_refusing.set((asked + 1, served + u64::from(&word[..] == b"ok")));
             }
         }
     }
 
-    /// Asks at the usual rate, whatever became of what was asked before.
+    /// Sends requests as a Poisson process at the configured rate, independently of earlier answers.
     async fn arrivals(self: Rc<Self>) {
         while self.running.get() {
             let gap = -(1.0 - self.random.borrow_mut().random_range(0.0..1.0f64)).ln();
             sleep(Duration::from_secs_f64(gap / self.rate / self.load.get())).await;
             let (class, row) = self.draw();
-            spawn_local(self.clone().ask(class, row, Kind::Usual));
+            spawn_local(self.clone().ask(class, row, RequestKind::Regular));
             if self.aborts.get() && self.chance(0.02) {
-                for _ in 0..BURST {
+                for _ in 0..ABORT_BURST {
                     let (class, row) = self.draw();
-                    spawn_local(self.clone().ask(class, row, Kind::Aborted));
+                    spawn_local(self.clone().ask(class, row, RequestKind::Aborted));
                 }
             }
         }
     }
 
-    /// One request on some connection that has room.
-    async fn ask(self: Rc<Self>, class: Class, row: u64, kind: Kind) {
-        let (abort, again) = (kind == Kind::Aborted, kind == Kind::Again);
-        let line = {
-            let lines = self.lines.borrow();
-            let free: Vec<&Rc<Line>> = lines.iter().filter(|l| l.open.borrow().len() < OPEN).collect();
+    /// Sends one request on a random connection with a free request slot.
+    async fn ask(self: Rc<Self>, class: Class, row: u64, kind: RequestKind) {
+        let (abort, retried) = (kind == RequestKind::Aborted, kind == RequestKind::Retry);
+        let connection = {
+            let connections = self.connections.borrow();
+            let free: Vec<&Rc<Connection>> =
+                connections.iter().filter(|l| l.open.borrow().len() < MAX_OPEN_REQUESTS).collect();
             if free.is_empty() {
                 return;
             }
             free[self.random.borrow_mut().random_range(0..free.len())].clone()
         };
-        let tag = line.fresh_tag();
+        let tag = connection.fresh_tag();
         let bytes = {
             let mut random = self.random.borrow_mut();
             request(&mut random, tag, class, row, if class == Class::Holds { 200 } else { 0 })
         };
-        line.open.borrow_mut().insert(tag, Sent { class, row, at: Instant::now(), aborted: abort, again });
-        let mut write = line.write.lock().await;
-        if line.ended.get() {
-            // It closed before this was sent.
-            line.open.borrow_mut().remove(&tag);
+        connection
+            .open
+            .borrow_mut()
+            .insert(tag, Sent { class, row, at: Instant::now(), aborted: abort, retried });
+        let mut write = connection.write.lock().await;
+        if connection.ended.get() {
+            // The connection closed before the request was sent.
+            connection.open.borrow_mut().remove(&tag);
             return;
         }
         {
@@ -329,16 +349,17 @@
         }
     }
 
-    /// Keeps one place of a kind of bad clients filled, as long as so many are wanted.
-    async fn bad(self: Rc<Self>, kind: Misbehavior, place: usize, seed: u64) {
+    /// Runs one slot of misbehaving clients: connects while the configured number of this kind exceeds the
+    /// slot's index.
+    async fn run_misbehaving(self: Rc<Self>, kind: Misbehavior, slot: usize, seed: u64) {
         let mut random = StdRng::seed_from_u64(seed);
         while self.running.get() {
-            let wanted = match kind {
-                Misbehavior::Slow => self.slow_readers.get(),
-                Misbehavior::Rude => self.rude.get(),
+            let connections = match kind {
+                Misbehavior::SlowReader => self.slow_readers.get(),
+                Misbehavior::Malformed => self.malformed.get(),
                 Misbehavior::Flood => self.flood.get(),
             };
-            if place < wanted {
+            if slot < connections {
                 let _ = timeout(Duration::from_secs(8), self.misbehave(kind, &mut random)).await;
             }
             sleep(Duration::from_millis(random.random_range(20..120))).await;
@@ -346,58 +367,59 @@
     }
 
     async fn misbehave(&self, kind: Misbehavior, random: &mut StdRng) -> io::Result<()> {
-        // What the system buffers for a client that does not read is kept small, so that the front must.
+        // A small receive buffer, so that unread answers are buffered by the front.
         let socket = TcpSocket::new_v4()?;
         socket.set_recv_buffer_size(8 * 1024)?;
         let mut stream = socket.connect(self.front).await?;
-        let fresh = || self.fresh.replace(self.fresh.get() + 1);
+        let new_object = || self.next_object.replace(self.next_object.get() + 1);
         match kind {
-            Misbehavior::Slow | Misbehavior::Flood => {
+            Misbehavior::SlowReader | Misbehavior::Flood => {
                 for tag in 1..=32 {
-                    let large = row(fresh(), LARGEST);
+                    let large = row_with_length(new_object(), MAX_OBJECT_BYTES);
                     let (row, bytes) = match kind {
-                        // Bodies with it, which a read does not need and must be held all the same.
+                        // A read does not need the body, but the front must buffer it.
                         Misbehavior::Flood => (large, 47_000),
                         _ => (large, 0),
                     };
                     let bytes = request(random, tag, Class::Media, row, bytes);
                     stream.write_all(&bytes).await?;
                 }
-                // Reads a little now and then.
-                let mut some = [0; 2_000];
+                // Reads a small chunk every half second.
+                let mut chunk = [0; 2_000];
                 loop {
                     sleep(Duration::from_millis(500)).await;
-                    if stream.read(&mut some).await? == 0 {
+                    if stream.read(&mut chunk).await? == 0 {
                         return Ok(());
                     }
                 }
             }
-            Misbehavior::Rude => {
+            Misbehavior::Malformed => {
                 let bytes: Vec<u8> = match random.random_range(0..6) {
                     0 => Vec::new(),
                     1 => (0..300).map(|_| random.random()).collect(),
                     2 => b"*5\r\n$3\r\nREQ\r\n$1\r\n1\r\n$5\r\nmedia\r\n$60000000\r\n".to_vec(),
                     3 => {
-                        let whole = request(random, 1, Class::Media, row(fresh(), 100), 47_000);
+                        let whole =
+                            request(random, 1, Class::Media, row_with_length(new_object(), 100), 47_000);
                         whole[..whole.len() / 2].to_vec()
                     }
                     4 => b"*3\r\n$3\r\nREQ\r\n$1\r\n1".to_vec(),
                     _ => request(random, 1, Class::Pages, self.popular(7), 0).repeat(40),
                 };
                 stream.write_all(&bytes).await?;
-                let mut rest = [0; 4096];
-                while stream.read(&mut rest).await? > 0 {}
+                let mut discarded = [0; 4096];
+                while stream.read(&mut discarded).await? > 0 {}
                 Ok(())
             }
         }
     }
 }
 
-/// Clients that no front can want.
+/// Kinds of misbehaving clients.
 #[derive(Clone, Copy)]
 enum Misbehavior {
-    Slow,
-    Rude,
+    SlowReader,
+    Malformed,
     Flood,
 }
 
@@ -405,7 +427,7 @@
     number.to_string().len()
 }
 
-/// A request as the protocol words it.
+/// Encodes a request.
 fn request(random: &mut StdRng, tag: u64, class: Class, row: u64, body: usize) -> Vec<u8> {
     let (call, ttl) = (random.random::<u64>(), class.patience() * 1000.0);
     let kb = (row as usize & 0xf_ffff) as f64 / 1000.0;
@@ -420,7 +442,7 @@
     out
 }
 
-/// Reads an answer: four words.
+/// Reads an answer, which has four words.
 pub async fn answer<R: AsyncRead + Unpin>(read: &mut BufReader<R>) -> io::Result<[Vec<u8>; 4]> {
     let bad = || io::Error::from(io::ErrorKind::InvalidData);
     async fn number<R: AsyncRead + Unpin>(read: &mut BufReader<R>, mark: u8) -> io::Result<usize> {
--- a/crates/lab/src/soak/front.rs
+++ b/crates/lab/src/soak/front.rs
@@ -1,4 +1,4 @@
-//! The front as a process: started with a configuration of the lab's own, looked at, reloaded and ended.
+//! The front as a process: starts it with a configuration of the lab, samples, reloads and stops it.
 
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
@@ -19,12 +19,12 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// Longest wait for a line that is to come.
-const PATIENCE: Duration = Duration::from_secs(10);
-/// Lines of the log that are kept for a report.
-const KEPT: usize = 40;
+/// Timeout for a log line, and for the end of the process.
+const TIMEOUT: Duration = Duration::from_secs(10);
+/// Maximum number of log lines that are kept for a report.
+const MAX_LOG_LINES: usize = 40;
 
-/// One account, in bytes.
+/// One memory account, in bytes; `refused` counts requests.
 #[derive(Debug, Clone, Copy, Default, Serialize)]
 pub struct Account {
     pub now: u64,
@@ -36,31 +36,36 @@
     pub refused: u64,
 }
 
-/// What was seen of the front at one time.
+/// One sample of the front.
 #[derive(Debug, Clone, Default)]
 pub struct ProcessSample {
-    /// What the system says that it holds (bytes), and its descriptors.
+    /// Resident set size in bytes.
     pub resident: u64,
+    /// Open file descriptors.
     pub descriptors: usize,
+    /// The memory accounts by name.
     pub accounts: BTreeMap<String, Account>,
-    /// Shared memory that nobody has.
+    /// Shared memory that no account uses, in bytes.
     pub free: u64,
+    /// The pressure level.
     pub level: String,
 }
 
-/// The process.
+/// A running front.
 pub struct Front {
     pub address: SocketAddr,
     child: Child,
     pid: u32,
+    /// Log lines that carry the listening address or the memory accounts.
     lines: UnboundedReceiver<String>,
-    last: Rc<RefCell<VecDeque<String>>>,
+    /// The last log lines, without counters and memory accounts.
+    last_lines: Rc<RefCell<VecDeque<String>>>,
     file: PathBuf,
     config: Value,
 }
 
 impl Front {
-    /// Starts it under these limits, with the list of nodes as it stands.
+    /// Starts the program under these limits, with the current membership list.
     pub async fn start(
         program: &Path,
         (memory_mb, sockets): (usize, usize),
@@ -90,38 +95,38 @@
             .spawn()
             .map_err(|e| format!("cannot start '{}': {e}", program.display()))?;
         let (sender, mut lines) = unbounded_channel();
-        let last: Rc<RefCell<VecDeque<String>>> = Rc::default();
+        let last_lines: Rc<RefCell<VecDeque<String>>> = Rc::default();
         let mut log = BufReader::new(child.stderr.take().ok_or("no standard error")?).lines();
-        let kept = last.clone();
+        let log_lines = last_lines.clone();
         spawn_local(async move {
             while let Ok(Some(line)) = log.next_line().await {
                 if line.contains(": memory total=") {
                     let _ = sender.send(line);
                 } else if !line.contains("counters requests=") || line.contains("at exit") {
-                    let mut kept = kept.borrow_mut();
-                    if kept.len() == KEPT {
-                        kept.pop_front();
+                    let mut log_lines = log_lines.borrow_mut();
+                    if log_lines.len() == MAX_LOG_LINES {
+                        log_lines.pop_front();
                     }
                     let serves = line.contains(" serves on ");
-                    kept.push_back(line.clone());
+                    log_lines.push_back(line.clone());
                     if serves {
                         let _ = sender.send(line);
                     }
                 }
             }
         });
-        let first = timeout(PATIENCE, lines.recv()).await?.ok_or("the front did not start")?;
+        let first = timeout(TIMEOUT, lines.recv()).await?.ok_or("the front did not start")?;
         let address = first.rsplit(' ').next().and_then(|a| a.parse().ok()).ok_or(first)?;
         let pid = child.id().ok_or("the front has ended")?;
-        Ok(Front { address, child, pid, lines, last, file, config })
+        Ok(Front { address, child, pid, lines, last_lines, file, config })
     }
 
     fn signal(&self, signal: Signal) {
         let _ = kill(Pid::from_raw(self.pid as i32), signal);
     }
 
-    /// Halves all caps by a reload, or restores them.
-    pub fn caps(&self, halved: bool) {
+    /// Halves all memory caps by a reload, or restores them.
+    pub fn reload_caps(&self, halved: bool) {
         let mut config = self.config.clone();
         if halved {
             let usual = [
@@ -136,7 +141,7 @@
             config["memory"] =
                 usual.iter().map(|(name, cap)| (name.to_string(), json!({"cap": cap}))).collect();
         }
-        // In one step, so that no half file is read.
+        // The rename is atomic, so that the front never reads a partial file.
         let next = self.file.with_extension("next");
         if std::fs::write(&next, config.to_string()).and_then(|()| std::fs::rename(&next, &self.file)).is_ok()
         {
@@ -144,8 +149,8 @@
         }
     }
 
-    /// Asks for the accounts and looks at the process; `None` if it has ended.
-    pub async fn look(&mut self) -> Option<ProcessSample> {
+    /// Samples the process and its memory accounts; returns `None` if it has ended.
+    pub async fn sample(&mut self) -> Option<ProcessSample> {
         if self.child.try_wait().ok()?.is_some() {
             return None;
         }
@@ -154,13 +159,13 @@
         let resident = statm.split(' ').nth(1)?.parse::<u64>().ok()? * page;
         let descriptors = std::fs::read_dir(format!("/proc/{}/fd", self.pid)).ok()?.count();
         self.signal(Signal::SIGUSR1);
-        let line = timeout(PATIENCE, self.lines.recv()).await.ok()??;
-        let mut look = ProcessSample { resident, descriptors, ..ProcessSample::default() };
+        let line = timeout(TIMEOUT, self.lines.recv()).await.ok()??;
+        let mut sample = ProcessSample { resident, descriptors, ..ProcessSample::default() };
         for (name, value) in line.split(' ').filter_map(|w| w.split_once('=')) {
             match name.split_once('.') {
-                Some((account, what)) => {
-                    let account = look.accounts.entry(account.to_owned()).or_default();
-                    let place = match what {
+                Some((account, figure)) => {
+                    let account = sample.accounts.entry(account.to_owned()).or_default();
+                    let field = match figure {
                         "now" => &mut account.now,
                         "peak" => &mut account.peak,
                         "cap" => &mut account.cap,
@@ -170,31 +175,31 @@
                         "refused" => &mut account.refused,
                         _ => continue,
                     };
-                    *place = value.parse().ok()?;
+                    *field = value.parse().ok()?;
                 }
-                None if name == "free" => look.free = value.parse().ok()?,
-                None if name == "level" => value.clone_into(&mut look.level),
+                None if name == "free" => sample.free = value.parse().ok()?,
+                None if name == "level" => value.clone_into(&mut sample.level),
                 None => {}
             }
         }
-        Some(look)
+        Some(sample)
     }
 
-    /// Processor time that it has taken (nanoseconds).
+    /// Returns the processor time that the process has used, in nanoseconds.
     pub fn processor_ns(&self) -> Result<u64, Box<dyn Error>> {
         let stat = std::fs::read_to_string(format!("/proc/{}/schedstat", self.pid))?;
         Ok(stat.split(' ').next().ok_or("an empty schedstat")?.parse()?)
     }
 
-    /// The last lines that it logged.
+    /// Returns the last lines that it logged.
     pub fn last_lines(&self) -> Vec<String> {
-        self.last.borrow().iter().cloned().collect()
+        self.last_lines.borrow().iter().cloned().collect()
     }
 
-    /// Ends it as the platform does; its exit code.
+    /// Sends SIGTERM, as the platform does; returns the exit code, or `None` after the timeout.
     pub async fn end(&mut self) -> Option<i32> {
         self.signal(Signal::SIGTERM);
-        let ended = timeout(PATIENCE, self.child.wait()).await;
+        let ended = timeout(TIMEOUT, self.child.wait()).await;
         sleep(Duration::from_millis(50)).await;
         let _ = std::fs::remove_file(&self.file);
         ended.ok()?.ok()?.code()
--- a/crates/lab/src/soak/lifecycle.rs
+++ b/crates/lab/src/soak/lifecycle.rs
@@ -1,5 +1,6 @@
-//! A soak of starts and ends: small fleets whose fronts are reloaded, replaced, ended and started again under load, each
-//! drawn whole from its seed. The verdict is the fleet's: what nodes and clients saw.
+//! A soak of process starts and exits: small fleets whose fronts are reloaded, replaced, stopped and
+//! restarted under load. Each run's plan is drawn from its seed; the verdict is the fleet's, from what nodes
+//! and clients observed.
 
 use super::Options;
 use crate::fleet::plan::{Bounds, Clients, Fault, Kind, Plan, Program, SignalSeries, Target};
@@ -14,73 +15,79 @@
 use std::ops::RangeInclusive;
 use std::path::Path;
 
-/// Fronts of a run. Each is cycled in turn, so that the others can take who finds none there.
+/// Fronts of a run. Clients that find their front down connect to another.
 const FRONTS: usize = 3;
-/// The first series of signals begins after this, and each takes so long at most: the kill may come 3.7 s after SIGTERM, and
-/// another process has to start before and after it (seconds).
-const FIRST: f64 = 2.0;
-const CYCLE: f64 = 5.5;
-/// Series of signals that each front sees.
-const CYCLES: usize = 2;
-/// Connections of a crowd: more than the descriptors of a front.
-const CROWD: usize = 300;
+/// The start of the first series of signals.
+const FIRST_CYCLE_SECONDS: f64 = 2.0;
+/// Time for one series of signals: the kill may come 3.7 s after SIGTERM, and another process has to start
+/// before and after it.
+const CYCLE_SECONDS: f64 = 5.5;
+/// Series of signals that each front receives.
+const CYCLES_PER_FRONT: usize = 2;
+/// Connections of a crowd: more than a front has descriptors.
+const CROWD_CONNECTIONS: usize = 300;
 
-/// Objects that clients read slowly, or in bursts, are so large (bytes), and the system keeps so little of them unread, that
-/// most of an answer waits at its front.
-const SLOWLY_READ: usize = 30_000;
-const NARROW: usize = 8 * 1024;
-/// Clients that read in bursts, and those that read slowly: every half second 240 KB, or 16 KB fifty times a second.
-const IN_BURSTS: Pace = Pace { pause_s: 0.5, chunk: 240_000, receive_buffer: Some(NARROW) };
-const SLOWLY: Pace = Pace { pause_s: 0.02, chunk: 16 * 1024, receive_buffer: Some(NARROW) };
-/// The same bursts, from systems that keep whole answers.
-const IN_BURSTS_FROM_WIDE: Pace = Pace { receive_buffer: None, ..IN_BURSTS };
+/// Length of objects that clients read slowly or in bursts: with the small receive buffer, most of an answer
+/// is queued at its front.
+const LARGE_OBJECT_BYTES: usize = 30_000;
+/// Receive buffer of clients that read slowly or in bursts.
+const SMALL_BUFFER_BYTES: usize = 8 * 1024;
+/// Clients that read in bursts: 240 KB every half second.
+const BURST_PACE: Pace = Pace { pause_s: 0.5, chunk: 240_000, receive_buffer: Some(SMALL_BUFFER_BYTES) };
+/// Clients that read slowly: 16 KB fifty times a second.
+const SLOW_PACE: Pace = Pace { pause_s: 0.02, chunk: 16 * 1024, receive_buffer: Some(SMALL_BUFFER_BYTES) };
+/// Clients that read in bursts with the default receive buffer, which holds whole answers.
+const BURST_PACE_DEFAULT_BUFFER: Pace = Pace { receive_buffer: None, ..BURST_PACE };
 
-/// Small objects have so many bytes, and an answer with one so many more.
-const SMALL: RangeInclusive<usize> = 20..=4096;
-const ANSWER_TEXT: usize = 100;
-/// Clients that read small answers slowly have systems that keep so little of them unread (bytes). After each such pause
-/// (seconds) they read so much, or one answer: what has come to a client is read within a second, but what waits at its front
-/// takes longer.
-const TINY: usize = 2 * 1024;
-const SMALL_PAUSE: RangeInclusive<f64> = 0.3..=0.8;
-/// They ask for this part of what they can read, over so many connections at most: then one rests for a while between two
-/// requests, which is when a front may close it.
-const SMALL_ASKED: f64 = 0.6;
-const SMALL_CONNECTIONS: usize = 24;
-/// Requests a second of the clients of a front, at most, and the connections of those that read otherwise.
-const RATE: f64 = 40.0;
+/// Length of small objects.
+const SMALL_OBJECT_BYTES: RangeInclusive<usize> = 20..=4096;
+/// Bytes of an answer in addition to its object.
+const ANSWER_OVERHEAD_BYTES: usize = 100;
+/// Receive buffer of clients that read small answers slowly. After each pause they read this many bytes, or
+/// one answer: data in the buffer is read within a second, but data queued at the front takes longer.
+const TINY_BUFFER_BYTES: usize = 2 * 1024;
+/// Pause between two reads of small answers.
+const SMALL_READ_PAUSE_SECONDS: RangeInclusive<f64> = 0.3..=0.8;
+/// Share of their reading capacity that these clients request: below 1, a connection is idle between some
+/// requests, when a front may close it.
+const SMALL_READ_LOAD: f64 = 0.6;
+/// Maximum number of connections of these clients.
+const MAX_SMALL_READ_CONNECTIONS: usize = 24;
+/// Maximum request rate of the clients of a front.
+const MAX_REQUESTS_PER_SECOND: f64 = 40.0;
+/// Connections of clients that read large answers, or read without pauses.
 const CONNECTIONS: usize = 6;
 
-/// Nodes that are slow have links so many times as thin.
-const SLOW: f64 = 20.0;
+/// Divisor of the link capacity of slow nodes.
+const SLOW_NODE_DIVISOR: f64 = 20.0;
 
-/// A run as it is drawn.
+/// Draws the plan of a run.
 fn plan(seed: u64, program: &Path) -> Plan {
     let mut random = StdRng::seed_from_u64(seed);
     let mut faults = Vec::new();
     for front in 0..FRONTS {
-        for cycle in 0..CYCLES {
+        for cycle in 0..CYCLES_PER_FRONT {
             let series = SignalSeries::ALL[random.random_range(0..SignalSeries::ALL.len())];
             let gap_s = random.random_range(0.01..0.6);
-            let at = FIRST + random.random_range(0.0..0.5) + cycle as f64 * CYCLE;
+            let at = FIRST_CYCLE_SECONDS + random.random_range(0.0..0.5) + cycle as f64 * CYCLE_SECONDS;
             faults.push(fault(Kind::FrontCycled { series, gap_s }, at, at, vec![front]));
         }
     }
-    let until = FIRST + CYCLES as f64 * CYCLE;
-    let mut sometimes = |kind: Kind, fronts: Vec<usize>, nodes: Vec<usize>| {
+    let until = FIRST_CYCLE_SECONDS + CYCLES_PER_FRONT as f64 * CYCLE_SECONDS;
+    let mut maybe_add = |kind: Kind, fronts: Vec<usize>, nodes: Vec<usize>| {
         if random.random_bool(1.0 / 3.0) {
             let from = random.random_range(0.0..until / 2.0);
             let nodes = Target { places: nodes, ..Target::default() };
             faults.push(Fault { nodes, ..fault(kind, from, until, fronts) });
         }
     };
-    sometimes(Kind::Crowd { connections: CROWD }, vec![0], Vec::new());
-    sometimes(Kind::NewsCut, Vec::new(), Vec::new());
-    sometimes(Kind::NewsSilent, Vec::new(), Vec::new());
-    sometimes(Kind::NodeBreaking { share: 0.05 }, Vec::new(), Vec::new());
-    sometimes(Kind::NodeSilent, Vec::new(), vec![0, 1]);
-    sometimes(Kind::NodeSlow { times: SLOW }, Vec::new(), vec![2, 3]);
-    sometimes(Kind::MemoryScarce, Vec::new(), Vec::new());
+    maybe_add(Kind::Crowd { connections: CROWD_CONNECTIONS }, vec![0], Vec::new());
+    maybe_add(Kind::NewsCut, Vec::new(), Vec::new());
+    maybe_add(Kind::NewsSilent, Vec::new(), Vec::new());
+    maybe_add(Kind::NodeBreaking { share: 0.05 }, Vec::new(), Vec::new());
+    maybe_add(Kind::NodeSilent, Vec::new(), vec![0, 1]);
+    maybe_add(Kind::NodeSlow { times: SLOW_NODE_DIVISOR }, Vec::new(), vec![2, 3]);
+    maybe_add(Kind::MemoryScarce, Vec::new(), Vec::new());
     Plan {
         seconds: until + 1.5,
         judged_from: 1.0,
@@ -95,45 +102,52 @@
     }
 }
 
-/// The clients of a run: how they read, and how large their objects are. Only what was drawn for clients that
-/// read at once is drawn on, so that the other seeds mean what they did.
+/// Draws how the clients of a run read, and the length of their objects. Small slow reads are drawn only in
+/// the branch for immediate reads, so that the plans of all other seeds stay the same.
 fn clients(random: &mut StdRng) -> Clients {
-    let at_once =
-        Clients { rate: RATE, holds: 0.1, connections: CONNECTIONS, objects: 500, ..Clients::default() };
-    let large = |pace| Clients { object_bytes: SLOWLY_READ, pace: Some(pace), ..at_once.clone() };
+    let immediate = Clients {
+        rate: MAX_REQUESTS_PER_SECOND,
+        holds: 0.1,
+        connections: CONNECTIONS,
+        objects: 500,
+        ..Clients::default()
+    };
+    let large = |pace| Clients { object_bytes: LARGE_OBJECT_BYTES, pace: Some(pace), ..immediate.clone() };
     match random.random_range(0..6) {
-        0 => large(IN_BURSTS),
-        1 => large(IN_BURSTS_FROM_WIDE),
-        2 => large(SLOWLY),
-        _ if random.random_bool(0.5) => small_slowly(random, at_once),
-        _ => at_once,
+        0 => large(BURST_PACE),
+        1 => large(BURST_PACE_DEFAULT_BUFFER),
+        2 => large(SLOW_PACE),
+        _ if random.random_bool(0.5) => small_slow_clients(random, immediate),
+        _ => immediate,
     }
 }
 
-/// Clients that ask for small objects, a little at a time, and read the answers slowly.
-fn small_slowly(random: &mut StdRng, at_once: Clients) -> Clients {
-    let object_bytes = random.random_range(SMALL);
-    let answer_bytes = object_bytes + ANSWER_TEXT;
-    let pause_s = random.random_range(SMALL_PAUSE);
-    let chunk = TINY.max(answer_bytes);
-    // Of one connection.
-    let rate = chunk as f64 / answer_bytes as f64 / pause_s * SMALL_ASKED;
-    let connections = ((RATE / rate) as usize).clamp(1, SMALL_CONNECTIONS);
+/// Draws clients that request small objects and read the answers slowly.
+fn small_slow_clients(random: &mut StdRng, immediate: Clients) -> Clients {
+    let object_bytes = random.random_range(SMALL_OBJECT_BYTES);
+    let answer_bytes = object_bytes + ANSWER_OVERHEAD_BYTES;
+    let pause_s = random.random_range(SMALL_READ_PAUSE_SECONDS);
+    let chunk = TINY_BUFFER_BYTES.max(answer_bytes);
+    // Request rate of one connection.
+    let rate = chunk as f64 / answer_bytes as f64 / pause_s * SMALL_READ_LOAD;
+    let connections = ((MAX_REQUESTS_PER_SECOND / rate) as usize).clamp(1, MAX_SMALL_READ_CONNECTIONS);
     Clients {
         rate: rate * connections as f64,
         connections,
         object_bytes,
-        pace: Some(Pace { pause_s, chunk, receive_buffer: Some(TINY) }),
-        ..at_once
+        pace: Some(Pace { pause_s, chunk, receive_buffer: Some(TINY_BUFFER_BYTES) }),
+        ..immediate
     }
 }
 
+/// Returns a fault on the fronts at these places.
 fn fault(kind: Kind, at: f64, until: f64, places: Vec<usize>) -> Fault {
     let fronts = Target { places, ..Target::default() };
     Fault { kind, at, until, fronts, nodes: Target::default() }
 }
 
-/// What a run's faults are beside the series of signals.
+/// Returns the names of a plan's faults, other than the series of signals, and of its clients' way of
+/// reading.
 fn conditions(plan: &Plan) -> Vec<&'static str> {
     let name = |kind: Kind| match kind {
         Kind::Crowd { .. } => Some("crowd"),
@@ -146,29 +160,29 @@
         _ => None,
     };
     let reading = plan.clients.pace.map(|pace| match pace {
-        SLOWLY => "clients read slowly",
-        IN_BURSTS => "clients read in bursts",
-        IN_BURSTS_FROM_WIDE => "clients read in bursts from wide buffers",
+        SLOW_PACE => "clients read slowly",
+        BURST_PACE => "clients read in bursts",
+        BURST_PACE_DEFAULT_BUFFER => "clients read in bursts from wide buffers",
         _ => "clients read small answers slowly",
     });
     plan.faults.iter().filter_map(|fault| name(fault.kind)).chain(reading).collect()
 }
 
-/// The runs together.
+/// The report of all runs.
 #[derive(Default, Serialize)]
 struct Report {
     held: Vec<u64>,
-    /// Seeds that did not hold, with what was broken.
+    /// Seeds whose checks did not hold, with the broken rules.
     broken: BTreeMap<u64, BTreeMap<String, (usize, String)>>,
-    /// Seeds without a verdict, since the stand-ins ran late.
+    /// Seeds without a verdict because the stand-ins ran late.
     without_verdict: Vec<u64>,
     by_series: BTreeMap<SignalSeries, CycleFigures>,
-    /// Runs and those of them that did not hold, by what went on in the whole run.
+    /// By condition: the number of runs, and of runs whose checks did not hold.
     by_condition: BTreeMap<&'static str, (usize, usize)>,
 }
 
 impl Report {
-    fn take(&mut self, seed: u64, plan: &Plan, verdict: Verdict) {
+    fn add(&mut self, seed: u64, plan: &Plan, verdict: Verdict) {
         if verdict.none {
             return self.without_verdict.push(seed);
         }
@@ -219,7 +233,7 @@
     }
 }
 
-/// Plays the runs; did all hold? A run without a verdict is played once more at the end.
+/// Plays all runs and returns whether all held. A run without a verdict is played once more at the end.
 pub fn run(options: &Options, program: &Path) -> Result<bool, Box<dyn Error>> {
     let mut report = Report::default();
     for seed in options.seed..options.seed + options.runs {
@@ -255,6 +269,6 @@
     for (rule, (times, example)) in &verdict.rules {
         println!("  BROKEN: {rule}, {times} times: {example}");
     }
-    report.take(seed, &plan, verdict);
+    report.add(seed, &plan, verdict);
     Ok(())
 }
--- a/crates/lab/src/soak/mod.rs
+++ b/crates/lab/src/soak/mod.rs
@@ -1,4 +1,4 @@
-//! A long run of one front under a small memory limit, while all goes wrong in turn.
+//! A long run of one front under a small memory limit, with a schedule of faults.
 
 pub mod clients;
 pub mod front;
@@ -13,7 +13,7 @@
 use onyxyoke_stand_ins::unix_ms;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use schedule::{FaultKind, troubles};
+use schedule::{FaultKind, active_faults};
 use std::collections::BTreeSet;
 use std::error::Error;
 use std::path::PathBuf;
@@ -23,7 +23,7 @@
 use tokio::time::{MissedTickBehavior, interval, sleep};
 use verdict::Verdict;
 
-/// How a soak is run.
+/// Options of a soak.
 #[derive(clap::Args)]
 pub struct Options {
     /// Fronts start, are reloaded, replaced and ended under load, in place of one front under a memory limit
@@ -58,15 +58,16 @@
     front: Option<PathBuf>,
 }
 
-/// Between two looks at the front (seconds).
-const LOOK: f64 = 0.1;
-/// One round of all troubles takes so long, or a quarter of the run where that is shorter (seconds).
-const ROUND: f64 = 60.0;
-/// Nodes of each kind.
+/// Interval between two samples of the front.
+const SAMPLE_INTERVAL_SECONDS: f64 = 0.1;
+/// Duration of one round of all faults; a quarter of the run where that is shorter.
+const ROUND_SECONDS: f64 = 60.0;
+/// Number of cache nodes.
 const CACHES: usize = 8;
+/// Number of parents.
 const PARENTS: usize = 2;
 
-/// Runs it; did all hold?
+/// Runs the soak; returns whether all checks held.
 pub fn run(options: &Options) -> Result<bool, Box<dyn Error>> {
     let program = match &options.front {
         Some(path) => path.clone(),
@@ -84,7 +85,7 @@
     Ok(verdict.held())
 }
 
-/// Everything outside of the front.
+/// The nodes and the coordinator that the front talks to.
 pub struct World {
     caches: Vec<Rc<Cache>>,
     pub members: Vec<Member>,
@@ -93,6 +94,7 @@
 }
 
 impl World {
+    /// Starts the nodes and the coordinator.
     pub async fn start(seed: u64) -> std::io::Result<World> {
         let (mut caches, mut members) = (Vec::new(), Vec::new());
         for i in 0..CACHES + PARENTS + 1 {
@@ -111,55 +113,60 @@
         Ok(World { caches, members, coordinator, random: StdRng::seed_from_u64(seed) })
     }
 
-    fn moods(&self, which: impl Fn(usize) -> bool, mood: NodeBehavior) {
-        let mood = NodeBehavior { slow: mood.slow.max(1.0), ..mood };
+    fn set_behavior(&self, which: impl Fn(usize) -> bool, behavior: NodeBehavior) {
+        let behavior = NodeBehavior { slow: behavior.slow.max(1.0), ..behavior };
         let caches = self.caches.iter().enumerate().filter(|(i, _)| which(*i));
-        caches.for_each(|(_, c)| c.set(mood));
+        caches.for_each(|(_, c)| c.set_behavior(behavior));
     }
 
-    fn node(&mut self, at: usize, state: u8, restarted: bool) {
+    fn set_node_state(&mut self, at: usize, state: u8, restarted: bool) {
         self.members[at].state = state;
         if restarted {
             self.members[at].started_ms = unix_ms();
-            self.caches[at].empty();
+            self.caches[at].clear();
         }
         self.coordinator.changed(&self.members[at..=at]);
     }
 
-    /// A trouble begins, or ends.
-    fn turn(&mut self, trouble: FaultKind, on: bool, clients: &Clients, front: &Front) {
-        let calm = NodeBehavior::default();
+    /// Starts or ends a fault.
+    fn switch_fault(&mut self, fault: FaultKind, active: bool, clients: &Clients, front: &Front) {
+        let normal = NodeBehavior::default();
         let victim = self.random.random_range(0..CACHES);
-        match trouble {
-            FaultKind::Oversized => clients.oversized.set(if on { 0.1 } else { 0.0 }),
-            FaultKind::OneTime => clients.one_time.set(if on { 0.17 } else { 0.02 }),
-            FaultKind::LateNews => self.coordinator.late.set(on),
-            FaultKind::HalfTheFronts => clients.load.set(if on { 1.85 } else { 1.0 }),
-            FaultKind::Failing if on => {
+        match fault {
+            FaultKind::OversizedObjects => clients.oversized.set(if active { 0.1 } else { 0.0 }),
+            FaultKind::OneTimeObjects => clients.one_time.set(if active { 0.17 } else { 0.02 }),
+            FaultKind::DelayedEvents => self.coordinator.delayed.set(active),
+            FaultKind::FailedOverClients => clients.load.set(if active { 1.85 } else { 1.0 }),
+            FaultKind::FailingNodes if active => {
                 let failing = self.random.random_range(0.33..0.97);
-                self.moods(|i| i == victim || i == CACHES, NodeBehavior { failing, ..calm });
+                self.set_behavior(|i| i == victim || i == CACHES, NodeBehavior { failing, ..normal });
             }
-            FaultKind::Dying if on => {
-                self.moods(|i| i < CACHES, NodeBehavior { dying: 0.1, garbling: 0.01, ..calm })
+            FaultKind::TruncatedAnswers if active => {
+                self.set_behavior(|i| i < CACHES, NodeBehavior { truncating: 0.1, garbling: 0.01, ..normal })
             }
-            FaultKind::Silent if on => self.moods(|i| i == victim, NodeBehavior { silent: true, ..calm }),
-            FaultKind::Slow if on => self.moods(|i| i < CACHES, NodeBehavior { slow: 6.0, ..calm }),
-            FaultKind::Failing | FaultKind::Dying | FaultKind::Silent | FaultKind::Slow => {
-                self.moods(|_| true, calm)
+            FaultKind::UnresponsiveNode if active => {
+                self.set_behavior(|i| i == victim, NodeBehavior { silent: true, ..normal })
             }
-            FaultKind::PurgeStorm if on => {
-                (0..2_000).for_each(|i| self.coordinator.purged(clients.popular(i), unix_ms()));
+            FaultKind::SlowNodes if active => {
+                self.set_behavior(|i| i < CACHES, NodeBehavior { slow: 6.0, ..normal })
+            }
+            FaultKind::FailingNodes
+            | FaultKind::TruncatedAnswers
+            | FaultKind::UnresponsiveNode
+            | FaultKind::SlowNodes => self.set_behavior(|_| true, normal),
+            FaultKind::PurgeStorm if active => {
+                (0..2_000).for_each(|i| self.coordinator.publish_purge(clients.popular(i), unix_ms()));
             }
             FaultKind::PurgeStorm => {}
             FaultKind::Drain => {
-                self.node(0, u8::from(on), !on);
-                self.node(1, 0, on);
+                self.set_node_state(0, u8::from(active), !active);
+                self.set_node_state(1, 0, active);
             }
-            FaultKind::SlowReaders => clients.slow_readers.set(if on { 16 } else { 0 }),
-            FaultKind::Rude => clients.rude.set(if on { 40 } else { 0 }),
-            FaultKind::Aborts => clients.aborts.set(on),
-            FaultKind::CapsHalved => front.caps(on),
-            FaultKind::Flood => clients.flood.set(if on { 24 } else { 0 }),
+            FaultKind::SlowReaders => clients.slow_readers.set(if active { 16 } else { 0 }),
+            FaultKind::MalformedRequests => clients.malformed.set(if active { 40 } else { 0 }),
+            FaultKind::Aborts => clients.aborts.set(active),
+            FaultKind::CapsHalved => front.reload_caps(active),
+            FaultKind::Flood => clients.flood.set(if active { 24 } else { 0 }),
         }
     }
 }
@@ -171,39 +178,39 @@
     let clients = Clients::new(front.address, options.seed, options.rate);
     clients.start();
     let seconds = options.minutes * 60.0;
-    let round = ROUND.min(seconds / 4.0);
+    let round = ROUND_SECONDS.min(seconds / 4.0);
     let mut verdict = Verdict::new(options.memory_mb * 1_000_000, seconds, round, options.seed);
-    let (begun, mut on) = (Instant::now(), BTreeSet::new());
-    let mut looks = interval(Duration::from_secs_f64(LOOK));
-    looks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let (begun, mut active) = (Instant::now(), BTreeSet::new());
+    let mut samples = interval(Duration::from_secs_f64(SAMPLE_INTERVAL_SECONDS));
+    samples.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let mut purged_at = 0.0;
     loop {
-        looks.tick().await;
+        samples.tick().await;
         let at = begun.elapsed().as_secs_f64();
         if at >= seconds {
             break;
         }
-        let now: BTreeSet<FaultKind> = troubles(at % round / round).collect();
-        for &trouble in on.symmetric_difference(&now) {
-            world.turn(trouble, now.contains(&trouble), &clients, &front);
+        let now: BTreeSet<FaultKind> = active_faults(at % round / round).collect();
+        for &fault in active.symmetric_difference(&now) {
+            world.switch_fault(fault, now.contains(&fault), &clients, &front);
         }
-        on = now;
+        active = now;
         if at - purged_at >= 1.0 {
             purged_at = at;
-            world.coordinator.purged(clients.popular(world.random.random_range(0..500)), unix_ms());
+            world.coordinator.publish_purge(clients.popular(world.random.random_range(0..500)), unix_ms());
         }
-        match front.look().await {
-            Some(look) => verdict.sample(at, look),
+        match front.sample().await {
+            Some(sample) => verdict.sample(at, sample),
             None => {
                 verdict.ended(at, front.last_lines());
                 break;
             }
         }
     }
-    // What is out is answered within the longest deadline.
+    // Requests in flight are answered within the longest deadline.
     clients.stop();
-    let calm = on.into_iter().collect::<Vec<_>>();
-    calm.into_iter().for_each(|t| world.turn(t, false, &clients, &front));
+    let remaining = active.into_iter().collect::<Vec<_>>();
+    remaining.into_iter().for_each(|t| world.switch_fault(t, false, &clients, &front));
     sleep(Duration::from_secs_f64(6.0)).await;
     verdict.clients(&clients);
     verdict.exit(front.end().await, front.last_lines());
--- a/crates/lab/src/soak/verdict.rs
+++ b/crates/lab/src/soak/verdict.rs
@@ -1,4 +1,4 @@
-//! What a soak must show, judged sample by sample, and its report.
+//! The checks of a soak, applied sample by sample, and its report.
 
 use super::clients::{Class, Clients};
 use super::front::{Account, ProcessSample};
@@ -6,15 +6,19 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// RSS of the last quarter may differ so much from that of the second; in runs of under so many seconds, whose second
-/// quarter is still warming up and whose quarters see one round each, by more.
-const DRIFT: (f64, f64, f64) = (0.03, 240.0, 0.10);
-/// Holds that must be served of those asked, also while others are refused.
-const HOLDS: f64 = 0.99;
+/// Maximum relative difference of the mean RSS of the last quarter from that of the second.
+const MAX_RSS_DRIFT: f64 = 0.03;
+/// Runs shorter than this are short: their second quarter is still warming, and each quarter has only one
+/// round.
+const SHORT_RUN_SECONDS: f64 = 240.0;
+/// Maximum relative RSS difference in a short run.
+const MAX_RSS_DRIFT_SHORT: f64 = 0.10;
+/// Minimum share of holds that must be served, also while other classes are refused.
+const MIN_HOLDS_SERVED_SHARE: f64 = 0.99;
 
-/// The most that was seen of an account, and what it refused.
+/// The maxima of an account over all samples, its last values and its refusals.
 #[derive(Debug, Clone, Copy, Default, Serialize)]
-struct Row {
+struct AccountRow {
     most: u64,
     most_of_cap: f64,
     last: u64,
@@ -22,7 +26,7 @@
     refused: u64,
 }
 
-/// The report.
+/// The report of a soak, which collects the violations.
 #[derive(Debug, Default, Serialize)]
 pub struct Verdict {
     seed: u64,
@@ -30,56 +34,60 @@
     round: f64,
     limit: u64,
     samples: u64,
-    accounts: BTreeMap<String, Row>,
+    accounts: BTreeMap<String, AccountRow>,
     resident_most: u64,
-    /// Mean RSS of each quarter.
+    /// Mean RSS of each quarter of the run, in bytes.
     resident: [f64; 4],
     descriptors_most: usize,
     levels: BTreeMap<String, u64>,
     classes: BTreeMap<&'static str, [u64; 5]>,
-    /// Holds asked and served about a time at which others were refused.
+    /// Holds sent, and holds served, while other classes were refused.
     holds_while_refusing: (u64, u64),
     latency_ms: BTreeMap<&'static str, u64>,
     faults: Vec<String>,
     #[serde(skip)]
-    sums: [(f64, u64); 4],
+    resident_sums: [(f64, u64); 4],
     #[serde(skip)]
-    before: Option<BTreeMap<String, Account>>,
+    previous_accounts: Option<BTreeMap<String, Account>>,
     #[serde(skip)]
-    lines: Vec<String>,
+    log_lines: Vec<String>,
 }
 
 impl Verdict {
+    /// Creates the report of a run; `limit` is the memory limit in bytes.
     pub fn new(limit: usize, seconds: f64, round: f64, seed: u64) -> Self {
         Verdict { seed, seconds, round, limit: limit as u64, ..Verdict::default() }
     }
 
-    fn fault(&mut self, what: String) {
+    fn record_fault(&mut self, what: String) {
         if self.faults.len() < 20 {
             eprintln!("onyxyoke-lab: {what}");
             self.faults.push(what);
         }
     }
 
-    /// A look at this time of the run (seconds).
-    pub fn sample(&mut self, at: f64, look: ProcessSample) {
+    /// Checks a sample taken at this time of the run (seconds).
+    pub fn sample(&mut self, at: f64, sample: ProcessSample) {
         self.samples += 1;
-        *self.levels.entry(look.level.clone()).or_default() += 1;
-        self.resident_most = self.resident_most.max(look.resident);
-        self.descriptors_most = self.descriptors_most.max(look.descriptors);
-        if look.resident > self.limit {
-            self.fault(format!("at {at:.1} s the process holds {} bytes, over its limit", look.resident));
+        *self.levels.entry(sample.level.clone()).or_default() += 1;
+        self.resident_most = self.resident_most.max(sample.resident);
+        self.descriptors_most = self.descriptors_most.max(sample.descriptors);
+        if sample.resident > self.limit {
+            self.record_fault(format!(
+                "at {at:.1} s the process holds {} bytes, over its limit",
+                sample.resident
+            ));
         }
         let quarter = ((at / self.seconds * 4.0) as usize).min(3);
-        self.sums[quarter].0 += look.resident as f64;
-        self.sums[quarter].1 += 1;
-        let before = self.before.take();
-        for (name, account) in &look.accounts {
-            // A cap that was cut under what is in use may not be met at once, but nothing more is granted, except
-            // out of the reserve.
-            let had = before.as_ref().and_then(|b| b.get(name)).map_or(0, |a| a.now);
-            if account.now > account.cap.max(had + account.reserve) {
-                self.fault(format!("at {at:.1} s '{name}' holds {} of {}", account.now, account.cap));
+        self.resident_sums[quarter].0 += sample.resident as f64;
+        self.resident_sums[quarter].1 += 1;
+        let previous = self.previous_accounts.take();
+        for (name, account) in &sample.accounts {
+            // After a reload cuts a cap below the current use, the use may exceed it, but it must not grow
+            // except out of the reserve.
+            let previous_use = previous.as_ref().and_then(|b| b.get(name)).map_or(0, |a| a.now);
+            if account.now > account.cap.max(previous_use + account.reserve) {
+                self.record_fault(format!("at {at:.1} s '{name}' holds {} of {}", account.now, account.cap));
             }
             let row = self.accounts.entry(name.clone()).or_default();
             row.most = row.most.max(account.peak);
@@ -88,29 +96,30 @@
             }
             (row.last, row.cap, row.refused) = (account.now, row.cap.max(account.cap), account.refused);
         }
-        self.before = Some(look.accounts);
+        self.previous_accounts = Some(sample.accounts);
     }
 
-    /// The front ended by itself.
+    /// Records that the front ended during the run.
     pub fn ended(&mut self, at: f64, lines: Vec<String>) {
-        self.fault(format!("at {at:.1} s the front had ended"));
-        self.lines = lines;
+        self.record_fault(format!("at {at:.1} s the front had ended"));
+        self.log_lines = lines;
     }
 
+    /// Records the clients' counts and violations.
     pub fn clients(&mut self, clients: &Clients) {
         for class in Class::ALL {
             let c = clients.counts(class);
             self.classes.insert(class.name(), [c.asked, c.served, c.refused, c.failed, c.aborted]);
         }
         let violations = [
-            ("answers that nobody was owed", clients.second.get()),
+            ("answers that nobody was owed", clients.unexpected.get()),
             ("requests whose connection ended without an answer", clients.lost.get()),
             ("answers after their time", clients.late.get()),
-            ("answers with other bytes than the object's", clients.spoilt.get()),
+            ("answers with other bytes than the object's", clients.corrupted.get()),
             ("requests without an answer at the end", clients.pending() as u64),
         ];
         for (what, n) in violations.into_iter().filter(|v| v.1 > 0) {
-            self.fault(format!("{n} {what}"));
+            self.record_fault(format!("{n} {what}"));
         }
         self.holds_while_refusing = clients.holds_while_refusing.get();
         let latency = clients.latency.borrow();
@@ -119,38 +128,37 @@
         }
     }
 
-    /// It was told to end; what is judged at the end is judged now.
+    /// Records the front's exit after SIGTERM and makes the final checks.
     pub fn exit(&mut self, code: Option<i32>, lines: Vec<String>) {
-        self.lines = lines;
+        self.log_lines = lines;
         if code != Some(0) {
-            self.fault(format!("the front exited with {code:?}"));
+            self.record_fault(format!("the front exited with {code:?}"));
         }
-        self.resident = self.sums.map(|(sum, n)| sum / n.max(1) as f64);
+        self.resident = self.resident_sums.map(|(sum, count)| sum / count.max(1) as f64);
         let [_, second, _, last] = self.resident;
-        let (usual, short, more) = DRIFT;
-        let allowed = if self.seconds < short { more } else { usual };
+        let allowed = if self.seconds < SHORT_RUN_SECONDS { MAX_RSS_DRIFT_SHORT } else { MAX_RSS_DRIFT };
         if (last - second).abs() > allowed * second {
             let drift = 100.0 * (last / second - 1.0);
-            self.fault(format!("RSS of the last quarter differs by {drift:.1}% from the second's"));
+            self.record_fault(format!("RSS of the last quarter differs by {drift:.1}% from the second's"));
         }
         let [asked, served, ..] = self.classes.get("holds").copied().unwrap_or_default();
         let while_refusing = self.holds_while_refusing;
         for (what, asked, served) in
             [("", asked, served), (" while others were refused", while_refusing.0, while_refusing.1)]
         {
-            // Of few, one may be missing.
-            if ((served + 1) as f64) < HOLDS * asked as f64
-                || asked > 100 && (served as f64) < HOLDS * asked as f64
+            // One unserved hold is allowed if there were few.
+            if ((served + 1) as f64) < MIN_HOLDS_SERVED_SHARE * asked as f64
+                || asked > 100 && (served as f64) < MIN_HOLDS_SERVED_SHARE * asked as f64
             {
-                self.fault(format!("{served} of {asked} holds were served{what}"));
+                self.record_fault(format!("{served} of {asked} holds were served{what}"));
             }
         }
         if !self.classes.values().any(|c| c[2] > 0) {
-            self.fault("nothing was refused: the soak did not reach the caps".into());
+            self.record_fault("nothing was refused: the soak did not reach the caps".into());
         }
     }
 
-    /// Did all hold?
+    /// Returns whether no fault was recorded.
     pub fn held(&self) -> bool {
         self.faults.is_empty()
     }
@@ -202,6 +210,6 @@
             return writeln!(f, "all held");
         }
         self.faults.iter().try_for_each(|fault| writeln!(f, "FAULT: {fault}"))?;
-        self.lines.iter().try_for_each(|line| writeln!(f, "  log: {line}"))
+        self.log_lines.iter().try_for_each(|line| writeln!(f, "  log: {line}"))
     }
 }
--- a/crates/stand-ins/src/caches.rs
+++ b/crates/stand-ins/src/caches.rs
@@ -1,8 +1,8 @@
-//! Cache nodes and the origin: they hold what they were asked for lately, fill what they lack from the source that
-//! they are told, take their time, and fail in the ways that a [`NodeBehavior`] says.
+//! Cache nodes and the origin. They store the objects that were requested last, fill missing objects if the
+//! request names a source, delay their answers by a service time, and fail as a [`NodeBehavior`] configures.
 
 use crate::command::{Command, discard_body};
-use crate::{body, unix_ms};
+use crate::{unix_ms, write_body};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::cell::{Cell, RefCell};
@@ -17,53 +17,60 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// How a node does just now; shares are of 1.
+/// The configured behavior of a node; shares are from 0 to 1.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct NodeBehavior {
-    /// Answered at once with an error, or turned away.
+    /// Share of requests that are answered at once with an error or a rejection.
     pub failing: f64,
-    /// Answered with what cannot be read, or with an impossible length.
+    /// Share of requests whose answer has an unparsable or impossible length.
     pub garbling: f64,
-    /// The connection ends inside the bytes of the answer.
-    pub dying: f64,
-    /// Takes everything and says nothing.
+    /// Share of requests whose connection ends in the middle of the answer.
+    pub truncating: f64,
+    /// Requests are read and never answered.
     pub silent: bool,
-    /// Answers take so many times as long.
+    /// Factor on the service time.
     pub slow: f64,
 }
 
-/// A node of either kind.
+/// A cache node or the origin.
 pub struct Cache {
-    /// Where it listens.
+    /// The listening address.
     pub address: SocketAddr,
-    /// The origin holds everything.
+    /// Set for the origin, which has every object.
     origin: bool,
-    mood: Cell<NodeBehavior>,
-    held: RefCell<(HashSet<u64>, VecDeque<u64>)>,
+    behavior: Cell<NodeBehavior>,
+    /// Stored objects, and their order of insertion for eviction.
+    stored: RefCell<(HashSet<u64>, VecDeque<u64>)>,
     random: RefCell<SmallRng>,
-    /// Requests served, turned away or failed, and cancels heard.
+    /// Requests answered with an object.
     pub served: Cell<u64>,
+    /// Requests answered with an error or a rejection.
     pub failed: Cell<u64>,
+    /// Cancel commands received.
     pub cancelled: Cell<u64>,
 }
 
-/// A request that is under way: its id, and what ends it when it is dropped.
-type Open = (String, watch::Sender<()>);
+/// A request in flight: its id, and a sender that cancels it when dropped.
+type OpenRequest = (String, watch::Sender<()>);
 
-/// Objects that a node holds.
-const HELD: usize = 2_000;
-/// A hit, a fill beyond it, and the sending of a megabyte (seconds).
-const TIMES: (f64, f64, f64) = (0.004, 0.03, 0.12);
+/// Objects that a node stores before it evicts the oldest.
+const MAX_STORED_OBJECTS: usize = 2_000;
+/// Service time of a hit.
+const HIT_SECONDS: f64 = 0.004;
+/// Additional service time of a fill.
+const FILL_SECONDS: f64 = 0.03;
+/// Transfer time of a megabyte.
+const SECONDS_PER_MEGABYTE: f64 = 0.12;
 
 impl Cache {
-    /// Starts one on a port of its own. It runs until the runtime ends.
+    /// Starts a node on a port of its own. It runs until the runtime ends.
     pub async fn start(origin: bool, seed: u64) -> std::io::Result<Rc<Cache>> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let cache = Rc::new(Cache {
             address: listener.local_addr()?,
             origin,
-            mood: Cell::new(NodeBehavior { slow: 1.0, ..NodeBehavior::default() }),
-            held: RefCell::default(),
+            behavior: Cell::new(NodeBehavior { slow: 1.0, ..NodeBehavior::default() }),
+            stored: RefCell::default(),
             random: RefCell::new(SmallRng::seed_from_u64(seed)),
             served: Cell::new(0),
             failed: Cell::new(0),
@@ -78,29 +85,29 @@
         Ok(cache)
     }
 
-    /// It does so from now on.
-    pub fn set(&self, mood: NodeBehavior) {
-        self.mood.set(mood);
+    /// Sets the behavior of all later requests.
+    pub fn set_behavior(&self, behavior: NodeBehavior) {
+        self.behavior.set(behavior);
     }
 
-    /// It has restarted, or was emptied.
-    pub fn empty(&self) {
-        self.held.take();
+    /// Deletes every stored object, as after a restart.
+    pub fn clear(&self) {
+        self.stored.take();
     }
 
     fn chance(&self, share: f64) -> bool {
         share > 0.0 && self.random.borrow_mut().random_bool(share.min(1.0))
     }
 
-    fn has(&self, row: u64) -> bool {
-        self.origin || self.held.borrow().0.contains(&row)
+    fn contains_object(&self, row: u64) -> bool {
+        self.origin || self.stored.borrow().0.contains(&row)
     }
 
-    fn keep(&self, row: u64) {
-        let (rows, order) = &mut *self.held.borrow_mut();
+    fn store(&self, row: u64) {
+        let (rows, order) = &mut *self.stored.borrow_mut();
         if rows.insert(row) {
             order.push_back(row);
-            if order.len() > HELD
+            if order.len() > MAX_STORED_OBJECTS
                 && let Some(old) = order.pop_front()
             {
                 rows.remove(&old);
@@ -108,12 +115,13 @@
         }
     }
 
-    /// Reads commands; each request is a task of its own, which a cancel or the end of the connection ends.
+    /// Reads commands. Each request runs in its own task, which a cancel command or the end of the connection
+    /// ends.
     async fn connection(self: Rc<Self>, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         let (read, write) = stream.into_split();
         let (mut read, write) = (BufReader::new(read), Rc::new(Mutex::new(write)));
-        let open: Rc<RefCell<Vec<Open>>> = Rc::default();
+        let open: Rc<RefCell<Vec<OpenRequest>>> = Rc::default();
         let mut line = String::new();
         while read.read_line(&mut line).await.is_ok_and(|n| n > 0) {
             match Command::parse(&line) {
@@ -121,12 +129,12 @@
                     if discard_body(&mut read, length).await.is_err() {
                         break;
                     }
-                    let (alive, ended) = watch::channel(());
-                    open.borrow_mut().push((id.to_owned(), alive));
+                    let (cancel_on_drop, cancelled_signal) = watch::channel(());
+                    open.borrow_mut().push((id.to_owned(), cancel_on_drop));
                     let (this, open, write) = (self.clone(), open.clone(), write.clone());
                     let (id, fields) = (id.to_owned(), fields.to_owned());
                     spawn_local(async move {
-                        this.serve(&id, &fields, &write, ended).await;
+                        this.serve(&id, &fields, &write, cancelled_signal).await;
                         open.borrow_mut().retain(|o| o.0 != id);
                     });
                 }
@@ -146,35 +154,35 @@
         id: &str,
         fields: &str,
         write: &Mutex<OwnedWriteHalf>,
-        mut ended: watch::Receiver<()>,
+        mut cancelled_signal: watch::Receiver<()>,
     ) {
         let field = |name: &str| crate::field(fields, name);
         let asset = field("asset").and_then(|a| u64::from_str_radix(a, 16).ok()).unwrap_or(0);
-        let write_asked = field("sort") == Some("holds");
-        let mood = self.mood.get();
-        if mood.silent {
+        let is_hold = field("sort") == Some("holds");
+        let behavior = self.behavior.get();
+        if behavior.silent {
             return;
         }
-        let hit = !write_asked && self.has(asset);
-        let fills = hit || self.origin || field("src").is_some();
-        let mut wait = TIMES.0 + if hit { 0.0 } else { TIMES.1 };
+        let hit = !is_hold && self.contains_object(asset);
+        let available = hit || self.origin || field("src").is_some();
+        let mut wait = HIT_SECONDS + if hit { 0.0 } else { FILL_SECONDS };
         let mut bytes = Vec::new();
         let mut line = format!("{id} NONE - 0\r\n\r\n").into_bytes();
-        if self.chance(mood.failing) {
+        if self.chance(behavior.failing) {
             self.failed.set(self.failed.get() + 1);
             let word = if self.chance(0.5) { "SHED" } else { "FAULT" };
             (line, wait) = (format!("{id} {word} - 0\r\n\r\n").into_bytes(), 0.001);
-        } else if self.chance(mood.garbling) {
+        } else if self.chance(behavior.garbling) {
             let length = if self.chance(0.5) { "3000000000" } else { "x" };
             line = format!("{id} HIT n=TCP_HIT,etag=e,made=1 {length}\r\n").into_bytes();
-        } else if fills {
-            if write_asked {
+        } else if available {
+            if is_hold {
                 bytes.extend_from_slice(b"held");
             } else {
-                body(asset, &mut bytes);
-                self.keep(asset);
+                write_body(asset, &mut bytes);
+                self.store(asset);
             }
-            wait += bytes.len() as f64 / 1e6 * TIMES.2;
+            wait += bytes.len() as f64 / 1e6 * SECONDS_PER_MEGABYTE;
             let note = if hit { "TCP_HIT" } else { "TCP_MISS" };
             let length = bytes.len();
             let made = unix_ms();
@@ -183,15 +191,15 @@
             line.extend_from_slice(b"\r\n");
             self.served.set(self.served.get() + 1);
         }
-        let dies = bytes.len() > 100 && self.chance(mood.dying);
+        let truncated = bytes.len() > 100 && self.chance(behavior.truncating);
         tokio::select! {
             biased;
-            _ = ended.changed() => return,
-            () = sleep(Duration::from_secs_f64(wait * mood.slow.max(0.1))) => {}
+            _ = cancelled_signal.changed() => return,
+            () = sleep(Duration::from_secs_f64(wait * behavior.slow.max(0.1))) => {}
         }
         let mut write = write.lock().await;
-        let part = if dies { line.len() / 2 } else { line.len() };
-        if write.write_all(&line[..part]).await.is_ok() && dies {
+        let length = if truncated { line.len() / 2 } else { line.len() };
+        if write.write_all(&line[..length]).await.is_ok() && truncated {
             let _ = write.shutdown().await;
         }
     }
--- a/crates/stand-ins/src/command.rs
+++ b/crates/stand-ins/src/command.rs
@@ -1,29 +1,29 @@
-//! The commands that a front writes to a cache node.
+//! The commands that a front sends to a cache node.
 
 use std::io;
 use tokio::io::{AsyncRead, AsyncReadExt};
 
-/// A command, by its line.
+/// A command, parsed from its line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Command<'a> {
-    /// A request, behind which a body of this length comes.
+    /// A request; a body of `length` bytes follows the line.
     Serve {
-        /// The name that the answer repeats.
+        /// The request's id, which the answer repeats.
         id: &'a str,
-        /// `name=value,name=value`.
+        /// The request's fields, `name=value,name=value`.
         fields: &'a str,
-        /// Bytes of the body.
+        /// Length of the body in bytes.
         length: usize,
     },
-    /// The request of this name is given up.
+    /// Cancels a request.
     Cancel {
-        /// Its name.
+        /// The id of the cancelled request.
         id: &'a str,
     },
 }
 
 impl<'a> Command<'a> {
-    /// Reads a line; `None` if it is no command.
+    /// Parses a line; returns `None` if it is not a command.
     pub fn parse(line: &'a str) -> Option<Command<'a>> {
         let words: Vec<&str> = line.trim_end().split(' ').collect();
         match words[..] {
@@ -36,7 +36,7 @@
     }
 }
 
-/// Reads a body of this length and the end of its line, and forgets it.
+/// Reads and discards a body of this length and the line end that follows it.
 pub async fn discard_body<R: AsyncRead + Unpin>(read: &mut R, length: usize) -> io::Result<()> {
     let mut body = vec![0; length + b"\r\n".len()];
     read.read_exact(&mut body).await.map(drop)
--- a/crates/stand-ins/src/fleet.rs
+++ b/crates/stand-ins/src/fleet.rs
@@ -1,6 +1,7 @@
-//! The cache nodes, parents and origin of a whole fleet. Each has a link that its transfers share, holds what it was
-//! asked for lately, starts cold, and listens at an address for each front alone, so that it knows who asks and a path
-//! between one front and one node can fail by itself. What it sees goes to a record of the test's own.
+//! The cache nodes, parents and origin of a whole fleet. Each node has a link that its transfers share,
+//! stores the objects that were requested last, starts cold, and listens at a separate address for each
+//! front, so that it knows which front sent a request and the path between one front and one node can fail
+//! alone. Nodes report attempts to a [`Record`].
 
 mod node;
 mod objects;
--- a/crates/stand-ins/src/fleet/node.rs
+++ b/crates/stand-ins/src/fleet/node.rs
@@ -1,4 +1,4 @@
-//! A node: its link, what it holds, its health, its place in the list, and the ways to it.
+//! A node: its link, stored objects, health, membership record and the network paths to it.
 
 use crate::link::Link;
 use std::collections::{HashMap, VecDeque};
@@ -6,10 +6,10 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use tokio::sync::{Notify, oneshot, watch};
 
-/// Objects that a cache and a parent hold.
-const HELD: [usize; 2] = [1_500, 20_000];
+/// Objects that a cache node and a parent store before they evict the oldest.
+const MAX_STORED_OBJECTS: [usize; 2] = [1_500, 20_000];
 
-/// What a node is.
+/// The kind of a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
     Cache,
@@ -17,60 +17,64 @@
     Origin,
 }
 
-/// How the way from one front to one node is.
+/// The condition of the network path from one front to one node.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Path {
     Open,
-    /// Nobody listens: connections are refused, and those that were open end.
+    /// Nothing listens: new connections are refused and open ones are closed.
     Down,
-    /// Nothing passes: connections stay open, or come up, and say nothing.
+    /// Connections are accepted and stay open, but nothing is answered.
     Silent,
-    /// Connections end as soon as anything comes over them.
+    /// Connections are closed as soon as data arrives on them.
     Reset,
-    /// Everything takes so much longer (seconds).
+    /// Requests and answers are each delayed by this time in seconds.
     Delayed(f64),
-    /// This share of connections is up and dead: what comes over them is taken, and nothing is said.
+    /// This share of connections is half-open: data is read and nothing is answered.
     HalfOpen(f64),
 }
 
-/// How a node does.
+/// The health of a node.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Health {
-    /// Its link is so many times as thin.
+    /// Divisor of the link's capacity.
     pub slow: f64,
-    /// This share of requests is answered at once with an error.
+    /// Share of requests that are answered at once with an error.
     pub failing: f64,
-    /// This share of answers breaks off in the middle, and its connection ends.
+    /// Share of answers that break off in the middle, with the end of their connection.
     pub breaking: f64,
-    /// When it started, in Unix seconds, if it is still cold; it has its whole link `cold.1` seconds after.
+    /// When it started, in Unix seconds; its link has full capacity `cold.1` seconds later.
     pub started: f64,
-    /// Share of its link at the start, and time until it has all (seconds).
+    /// Share of the link's capacity at the start, and seconds until it is full.
     pub cold: (f64, f64),
 }
 
+/// The mutable state of a node.
 pub(super) struct State {
     pub(super) link: Link,
     pub(super) health: Health,
-    pub(super) held: (HashMap<u64, u64>, VecDeque<u64>),
-    pub(super) whole: HashMap<u64, oneshot::Sender<f64>>,
-    pub(super) next: u64,
+    /// When each stored copy was made (Unix milliseconds), and the order of insertion for eviction.
+    pub(super) stored: (HashMap<u64, u64>, VecDeque<u64>),
+    /// Waiting transfers by id; each gets the time at which it was due to complete.
+    pub(super) completions: HashMap<u64, oneshot::Sender<f64>>,
+    pub(super) last_transfer: u64,
     id: u32,
-    /// Its state in the list (0 ready, 1 draining, 2 gone), and when it started as the list has it (Unix
+    /// Its state in the membership list (0 ready, 1 draining, 2 gone), and its listed start time (Unix
     /// milliseconds).
     listed: (u8, u64),
 }
 
-/// A node.
+/// A cache node, parent or origin.
 pub struct Node {
+    /// Its index in [`Tier::nodes`](super::Tier::nodes).
     pub place: usize,
     pub kind: Kind,
-    /// Its link, in transfers at full pace.
+    /// The usual capacity of its link, in transfers at full rate.
     pub usual: f64,
     /// The name of its zone in the list.
     pub zone: String,
     pub(super) state: Mutex<State>,
     pub(super) changed: Notify,
-    /// By front: where it listens, and how the way there is.
+    /// For each front: the listening address, and the condition of the path.
     pub(super) paths: Mutex<HashMap<usize, (SocketAddr, watch::Sender<Path>)>>,
 }
 
@@ -79,15 +83,15 @@
 }
 
 impl Node {
-    /// A node that was up for long.
+    /// Creates a warm node.
     pub fn new(place: usize, id: u32, kind: Kind, usual: f64, zone: String) -> Arc<Node> {
         let health = Health { slow: 1.0, failing: 0.0, breaking: 0.0, started: 0.0, cold: (1.0, 1.0) };
         let state = State {
             link: Link::new(usual),
             health,
-            held: Default::default(),
-            whole: HashMap::new(),
-            next: 0,
+            stored: Default::default(),
+            completions: HashMap::new(),
+            last_transfer: 0,
             id,
             listed: (0, 0),
         };
@@ -102,78 +106,78 @@
         })
     }
 
-    /// It does so from now on.
+    /// Changes the health.
     pub fn set(&self, change: impl FnOnce(&mut Health)) {
         change(&mut locked(&self.state).health);
         self.changed.notify_one();
     }
 
-    /// Its state in the list and its start, as they are told from now on.
+    /// Sets the state and start time that its membership record shows.
     pub fn list(&self, state: u8, started_ms: u64) {
         locked(&self.state).listed = (state, started_ms);
     }
 
-    /// Its id in the list.
+    /// The id in its membership record.
     pub fn id(&self) -> u32 {
         locked(&self.state).id
     }
 
-    /// Another node is in its place.
+    /// Sets another id, as if another node had replaced it.
     pub fn rename(&self, id: u32) {
         locked(&self.state).id = id;
     }
 
-    /// The same as last told.
+    /// The state and start time that its membership record shows.
     pub fn listed(&self) -> (u8, u64) {
         locked(&self.state).listed
     }
 
-    /// Its copies are gone.
+    /// Deletes all copies.
     pub fn empty(&self) {
-        locked(&self.state).held = Default::default();
+        locked(&self.state).stored = Default::default();
     }
 
-    /// The way from a front, or from all, is so from now on.
+    /// Sets the condition of the path from one front, or from all.
     pub fn path(&self, front: Option<usize>, path: Path) {
         let paths = locked(&self.paths);
-        let these = paths.iter().filter(|(f, _)| front.is_none_or(|front| **f == front));
-        for (_, (_, sender)) in these {
+        let selected = paths.iter().filter(|(f, _)| front.is_none_or(|front| **f == front));
+        for (_, (_, sender)) in selected {
             sender.send_replace(path);
         }
     }
 
-    /// Where a front reaches it.
+    /// Returns the address at which a front reaches it.
     pub fn address(&self, front: usize) -> Option<SocketAddr> {
         locked(&self.paths).get(&front).map(|p| p.0)
     }
 
-    /// Work done since this was last asked (seconds of sending).
+    /// Returns the work done since the last call, in seconds of sending.
     pub fn take_done(&self, now: f64) -> f64 {
         locked(&self.state).link.take_done(now)
     }
 
-    /// Copies made before this are gone (Unix milliseconds).
+    /// Deletes copies made before this time (Unix milliseconds).
     pub fn forget(&self, before: u64) {
         let state = &mut *locked(&self.state);
-        state.held.0.retain(|_, made| *made >= before);
-        let held = &state.held.0;
-        state.held.1.retain(|object| held.contains_key(object));
+        state.stored.0.retain(|_, made| *made >= before);
+        let stored = &state.stored.0;
+        state.stored.1.retain(|object| stored.contains_key(object));
     }
 
-    /// When the copy that it holds was made (Unix milliseconds).
-    pub(super) fn holds(&self, object: u64) -> Option<u64> {
-        locked(&self.state).held.0.get(&object).copied()
+    /// Returns when its copy of the object was made (Unix milliseconds), if it has one.
+    pub(super) fn copy_made_at(&self, object: u64) -> Option<u64> {
+        locked(&self.state).stored.0.get(&object).copied()
     }
 
-    pub(super) fn keep(&self, object: u64, made: u64) {
-        let most = HELD[usize::from(self.kind == Kind::Parent)];
+    pub(super) fn store(&self, object: u64, made: u64) {
+        let max_objects = MAX_STORED_OBJECTS[usize::from(self.kind == Kind::Parent)];
         let state = &mut *locked(&self.state);
-        if state.held.0.insert(object, made).is_none() {
-            state.held.1.push_back(object);
-            if state.held.1.len() > most
-                && let Some(old) = state.held.1.pop_front()
+        if state.stored.0.insert(object, made).is_none() {
+            state.stored.1.push_back(object);
+            if state.stored.1.len() > max_objects
+                && let Some(oldest) = state.stored.1.pop_front()
             {
-                state.held.0.remove(&old);
+                state.stored.0.remove(&oldest);
             }
         }
     }
--- a/crates/stand-ins/src/fleet/record.rs
+++ b/crates/stand-ins/src/fleet/record.rs
@@ -1,29 +1,30 @@
-//! What nodes see of attempts, and where they tell it.
+//! The attempts that nodes observe, and the interface that they report them to.
 
-/// What a node saw of one attempt.
+/// One attempt as a node observed it.
 #[derive(Debug, Clone, Copy)]
 pub struct ObservedAttempt {
-    /// Unix seconds.
+    /// When it arrived, in Unix seconds.
     pub at: f64,
     pub node: usize,
     pub front: usize,
     pub object: u64,
-    /// Seconds of sending at full pace.
+    /// Work in seconds of sending at the full rate.
     pub work: f64,
-    /// The idempotency key, if it had one.
+    /// The idempotency key, if any.
     pub key: Option<u64>,
     pub hit: bool,
-    /// It had to be filled from above, and by the origin.
+    /// The object was filled from a parent or the origin.
     pub filled: bool,
+    /// The fill came from the origin.
     pub origin: bool,
 }
 
-/// Where nodes tell what they see.
+/// Receives the observations of the nodes.
 pub trait Record: Send + Sync + 'static {
-    /// An attempt came; it is out from now on. Its number.
+    /// An attempt arrived and is in flight; returns its number.
     fn came(&self, came: ObservedAttempt) -> usize;
-    /// The attempt of this number is out no more, at a Unix time.
+    /// The attempt of this number ended, at a Unix time in seconds.
     fn ended(&self, attempt: usize, at: f64);
-    /// A transfer was whole so much later than it should have been (seconds).
+    /// A transfer completed this many seconds later than the link scheduled it.
     fn late(&self, seconds: f64);
 }
--- a/crates/stand-ins/src/fleet/tier.rs
+++ b/crates/stand-ins/src/fleet/tier.rs
@@ -1,4 +1,4 @@
-//! All nodes on their sockets: connections, commands, fills and transfers.
+//! All nodes of a fleet on their sockets: connections, commands, fills and transfers.
 
 use super::node::{Health, Kind, Node, Path, locked};
 use super::objects::{body, work};
@@ -18,56 +18,59 @@
 use tokio::task::AbortHandle;
 use tokio::time::{sleep, sleep_until};
 
-/// The wait for a parent, and what the origin adds (seconds).
-const WAIT: (f64, f64) = (0.02, 0.04);
-/// Cold links are brought up to date this often (seconds).
-const WARMS: f64 = 0.25;
+/// Delay of a fill from a parent.
+const PARENT_FILL_SECONDS: f64 = 0.02;
+/// Additional delay of a fill from the origin.
+const ORIGIN_FILL_SECONDS: f64 = 0.04;
+/// Interval of capacity updates of links that are warming.
+const WARMING_UPDATE_SECONDS: f64 = 0.25;
 
-/// All nodes, and what their wires need to know.
+/// All nodes of a fleet, with what they share.
 pub struct Tier {
+    /// The nodes, by index.
     pub nodes: Vec<Arc<Node>>,
-    /// KB that one transfer sends in a second.
+    /// Full rate of one transfer in KB per second.
     pub flow: f64,
-    /// Bytes of an object, at least.
+    /// Minimum length of a body in bytes.
     object_bytes: usize,
     record: Arc<dyn Record>,
     begun: Instant,
     begun_unix: f64,
-    /// Connections so far.
-    came: AtomicU64,
+    /// Connections accepted so far.
+    accepted: AtomicU64,
 }
 
-/// A transfer on a link, which is taken off it when nobody waits for it any more.
-struct OnLink<'a> {
+/// A transfer on a link; dropping it cancels the transfer if it is not complete.
+struct Transfer<'a> {
     tier: &'a Tier,
     node: &'a Node,
-    name: u64,
+    id: u64,
 }
 
-impl Drop for OnLink<'_> {
+impl Drop for Transfer<'_> {
     fn drop(&mut self) {
         let mut state = locked(&self.node.state);
-        if state.whole.remove(&self.name).is_some() {
-            state.link.remove(self.tier.now(), self.name);
+        if state.completions.remove(&self.id).is_some() {
+            state.link.remove(self.tier.now(), self.id);
             self.node.changed.notify_one();
         }
     }
 }
 
-/// An attempt that is out until this is dropped.
-struct Out<'a> {
+/// An attempt in flight, which ends when this is dropped.
+struct InFlightAttempt<'a> {
     tier: &'a Tier,
     attempt: usize,
 }
 
-impl Drop for Out<'_> {
+impl Drop for InFlightAttempt<'_> {
     fn drop(&mut self) {
         self.tier.record.ended(self.attempt, self.tier.unix());
     }
 }
 
-/// A request as it came over the wire.
-struct Asked {
+/// A parsed request.
+struct Request {
     id: String,
     object: u64,
     work: f64,
@@ -78,7 +81,7 @@
 }
 
 impl Tier {
-    /// Nodes that nobody reaches yet.
+    /// Creates a tier whose nodes do not listen yet.
     pub fn new(nodes: Vec<Arc<Node>>, flow: f64, object_bytes: usize, record: Arc<dyn Record>) -> Arc<Tier> {
         let begun_unix = unix_ms() as f64 / 1000.0;
         Arc::new(Tier {
@@ -88,28 +91,28 @@
             record,
             begun: Instant::now(),
             begun_unix,
-            came: AtomicU64::new(0),
+            accepted: AtomicU64::new(0),
         })
     }
 
-    /// Seconds since it was made, by a clock that only advances.
+    /// Seconds since creation, by a monotonic clock.
     pub fn now(&self) -> f64 {
         self.begun.elapsed().as_secs_f64()
     }
 
-    /// The same as Unix seconds.
+    /// The Unix time in seconds, advanced by the monotonic clock.
     pub fn unix(&self) -> f64 {
         self.begun_unix + self.now()
     }
 
-    /// Starts the links.
+    /// Starts the tasks that run the links.
     pub fn start(self: &Arc<Self>) {
         for node in &self.nodes {
-            tokio::spawn(self.clone().drive(node.clone()));
+            tokio::spawn(self.clone().run_link(node.clone()));
         }
     }
 
-    /// A node listens for a front from now on.
+    /// Starts listening on a node for connections of a front.
     pub async fn listen(self: &Arc<Self>, node: &Arc<Node>, front: usize) -> io::Result<()> {
         // An address for each front: together they need more ports than one address has.
         let address = Ipv4Addr::new(127, 0, (front / 250 + 1) as u8, (front % 250 + 1) as u8);
@@ -120,34 +123,35 @@
         Ok(())
     }
 
-    /// Takes transfers off a node's link as they are whole, and keeps the link's size up to date.
-    async fn drive(self: Arc<Self>, node: Arc<Node>) {
+    /// Completes the transfers on a node's link as they are due, and updates the link's capacity while it
+    /// warms.
+    async fn run_link(self: Arc<Self>, node: Arc<Node>) {
         loop {
             let (next, cold) = {
                 let state = &mut *locked(&node.state);
                 let now = self.now();
                 let Health { slow, started, cold: (from, time), .. } = state.health;
                 let age = self.unix() - started;
-                let part = if age < time { from + (1.0 - from) * age / time } else { 1.0 };
-                let size = node.usual * part / slow;
+                let capacity_share = if age < time { from + (1.0 - from) * age / time } else { 1.0 };
+                let size = node.usual * capacity_share / slow;
                 if (size - state.link.size).abs() > 1e-9 {
                     state.link.resize(now, size);
                 }
                 let due = state.link.next_end();
-                for name in state.link.whole(now) {
-                    if let Some(whole) = state.whole.remove(&name) {
-                        let _ = whole.send(due.unwrap_or(now));
+                for id in state.link.whole(now) {
+                    if let Some(completion) = state.completions.remove(&id) {
+                        let _ = completion.send(due.unwrap_or(now));
                     }
                 }
                 (state.link.next_end(), age < time)
             };
-            let warms = if cold { self.now() + WARMS } else { f64::MAX };
-            let wake = next.unwrap_or(f64::MAX).min(warms);
-            if wake == f64::MAX {
+            let warming_update = if cold { self.now() + WARMING_UPDATE_SECONDS } else { f64::MAX };
+            let next_wake = next.unwrap_or(f64::MAX).min(warming_update);
+            if next_wake == f64::MAX {
                 node.changed.notified().await;
                 continue;
             }
-            let at = tokio::time::Instant::from_std(self.begun + Duration::from_secs_f64(wake));
+            let at = tokio::time::Instant::from_std(self.begun + Duration::from_secs_f64(next_wake));
             tokio::select! {
                 () = sleep_until(at) => {}
                 () = node.changed.notified() => {}
@@ -180,7 +184,7 @@
                     continue;
                 }
             }
-            let Some(open) = &listener else {
+            let Some(bound) = &listener else {
                 if path.changed().await.is_err() {
                     return;
                 }
@@ -188,14 +192,15 @@
             };
             tokio::select! {
                 changed = path.changed() => if changed.is_err() { return },
-                accepted = open.accept() => if let Ok((stream, _)) = accepted {
+                accepted = bound.accept() => if let Ok((stream, _)) = accepted {
                     tokio::spawn(self.clone().connection(node.clone(), front, stream, path.clone()));
                 }
             }
         }
     }
 
-    /// Reads commands; each request is a task of its own, which a cancel or the end of the connection ends.
+    /// Reads commands. Each request runs in its own task, which a cancel command or the end of the connection
+    /// ends.
     async fn connection(
         self: Arc<Self>,
         node: Arc<Node>,
@@ -206,29 +211,29 @@
         let _ = stream.set_nodelay(true);
         let (read, write) = stream.into_split();
         let (mut read, write) = (BufReader::new(read), Arc::new(tokio::sync::Mutex::new(write)));
-        let mut open: HashMap<String, AbortHandle> = HashMap::new();
+        let mut tasks: HashMap<String, AbortHandle> = HashMap::new();
         let mut line = String::new();
-        // One in so many, evenly over the connections as they come (the golden ratio's multiples).
-        let drawn = (self.came.fetch_add(1, Ordering::Relaxed) as f64 * 0.618_033_988_749_895).fract();
-        // Once dead it stays so, whatever becomes of the way.
-        let mut dead = matches!(*path.borrow(), Path::HalfOpen(share) if drawn < share);
+        // Multiples of the golden ratio spread the half-open share evenly over successive connections.
+        let draw = (self.accepted.fetch_add(1, Ordering::Relaxed) as f64 * 0.618_033_988_749_895).fract();
+        // A half-open connection stays half-open when the path recovers.
+        let mut half_open = matches!(*path.borrow(), Path::HalfOpen(share) if draw < share);
         loop {
             line.clear();
-            let got = tokio::select! {
-                got = read.read_line(&mut line) => got,
+            let read_bytes = tokio::select! {
+                read_bytes = read.read_line(&mut line) => read_bytes,
                 _ = path.changed() => {
                     let now = *path.borrow_and_update();
                     if now == Path::Down {
                         break;
                     }
-                    if matches!(now, Path::HalfOpen(share) if drawn < share) {
-                        dead = true;
-                        open.drain().for_each(|(_, task)| task.abort());
+                    if matches!(now, Path::HalfOpen(share) if draw < share) {
+                        half_open = true;
+                        tasks.drain().for_each(|(_, task)| task.abort());
                     }
                     continue;
                 }
             };
-            if !got.is_ok_and(|n| n > 0) || *path.borrow() == Path::Reset {
+            if !read_bytes.is_ok_and(|n| n > 0) || *path.borrow() == Path::Reset {
                 break;
             }
             match Command::parse(&line) {
@@ -236,32 +241,32 @@
                     if discard_body(&mut read, length).await.is_err() {
                         break;
                     }
-                    if dead || *path.borrow() == Path::Silent {
+                    if half_open || *path.borrow() == Path::Silent {
                         continue;
                     }
-                    let asked = self.asked(id, fields);
+                    let request = Self::parse_request(id, fields);
                     let (this, node, write, path) = (self.clone(), node.clone(), write.clone(), path.clone());
-                    open.retain(|_, task| !task.is_finished());
+                    tasks.retain(|_, task| !task.is_finished());
                     let task =
-                        tokio::spawn(async move { this.serve(&node, front, asked, &write, path).await });
-                    open.insert(id.to_owned(), task.abort_handle());
+                        tokio::spawn(async move { this.serve(&node, front, request, &write, path).await });
+                    tasks.insert(id.to_owned(), task.abort_handle());
                 }
                 Some(Command::Cancel { id }) => {
-                    if let Some(task) = open.remove(id) {
+                    if let Some(task) = tasks.remove(id) {
                         task.abort();
                     }
                 }
                 None => break,
             }
         }
-        open.values().for_each(AbortHandle::abort);
+        tasks.values().for_each(AbortHandle::abort);
     }
 
-    fn asked(&self, id: &str, fields: &str) -> Asked {
+    fn parse_request(id: &str, fields: &str) -> Request {
         let field = |name: &str| crate::field(fields, name);
         let object = field("asset").and_then(|a| u64::from_str_radix(a, 16).ok()).unwrap_or(0);
         let key = field("op").and_then(|k| u128::from_str_radix(k, 16).ok());
-        Asked {
+        Request {
             id: id.to_owned(),
             object,
             work: work(object),
@@ -276,108 +281,112 @@
         &self,
         node: &Node,
         front: usize,
-        asked: Asked,
+        request: Request,
         write: &tokio::sync::Mutex<OwnedWriteHalf>,
         path: watch::Receiver<Path>,
     ) {
-        let way = *path.borrow();
-        if let Path::Delayed(by) = way {
-            sleep(Duration::from_secs_f64(by)).await;
+        let condition = *path.borrow();
+        if let Path::Delayed(seconds) = condition {
+            sleep(Duration::from_secs_f64(seconds)).await;
         }
-        let Asked { object, work, key, .. } = asked;
-        let fresh = |made: &u64| asked.max_age_ms == 0 || unix_ms().saturating_sub(*made) <= asked.max_age_ms;
-        let held = if key.is_some() { None } else { node.holds(object).filter(fresh) };
-        let mut came = ObservedAttempt {
+        let Request { object, work, key, .. } = request;
+        let fresh =
+            |made: &u64| request.max_age_ms == 0 || unix_ms().saturating_sub(*made) <= request.max_age_ms;
+        let stored = if key.is_some() { None } else { node.copy_made_at(object).filter(fresh) };
+        let mut observed = ObservedAttempt {
             at: self.unix(),
             node: node.place,
             front,
             object,
             work,
             key,
-            hit: held.is_some(),
+            hit: stored.is_some(),
             filled: false,
             origin: false,
         };
         let Health { failing, breaking, .. } = locked(&node.state).health;
-        let drawn = (unix_ms() ^ object).wrapping_mul(0x9e37_79b9) % 1000;
-        if drawn < (failing * 1000.0) as u64 {
-            let out = Out { tier: self, attempt: self.record.came(came) };
-            answer(write, &path, &format!("{} FAULT - 0\r\n\r\n", asked.id), &[]).await;
-            return drop(out);
+        let draw = (unix_ms() ^ object).wrapping_mul(0x9e37_79b9) % 1000;
+        if draw < (failing * 1000.0) as u64 {
+            let in_flight = InFlightAttempt { tier: self, attempt: self.record.came(observed) };
+            write_answer(write, &path, &format!("{} FAULT - 0\r\n\r\n", request.id), &[]).await;
+            return drop(in_flight);
         }
-        let source = asked.source.and_then(|s| self.nodes.iter().find(|n| n.id() == s));
-        let from_sibling =
-            source.filter(|s| s.kind == Kind::Cache && s.place != node.place).and_then(|s| s.holds(object));
-        let above = source.filter(|s| s.kind != Kind::Cache);
-        let from_parent = above
+        let source = request.source.and_then(|s| self.nodes.iter().find(|n| n.id() == s));
+        let from_sibling = source
+            .filter(|s| s.kind == Kind::Cache && s.place != node.place)
+            .and_then(|s| s.copy_made_at(object));
+        let upstream = source.filter(|s| s.kind != Kind::Cache);
+        let from_parent = upstream
             .filter(|s| s.kind == Kind::Parent && key.is_none())
-            .and_then(|s| s.holds(object).filter(fresh));
-        let (made, wait, note) = if let Some(made) = held {
+            .and_then(|s| s.copy_made_at(object).filter(fresh));
+        let (made, delay_seconds, note) = if let Some(made) = stored {
             (made, 0.0, "TCP_HIT")
         } else if let Some(made) = from_sibling.filter(fresh) {
-            (made, WAIT.0 / 2.0, "TCP_MISS")
+            (made, PARENT_FILL_SECONDS / 2.0, "TCP_MISS")
         } else if let Some(made) = from_parent {
-            came.filled = true;
-            (made, WAIT.0, "TCP_MISS")
-        } else if above.is_some() && !(asked.local && above.is_some_and(|a| a.kind == Kind::Parent)) {
-            (came.filled, came.origin) = (true, true);
-            (unix_ms(), WAIT.0 + WAIT.1, "TCP_MISS_ROOT")
+            observed.filled = true;
+            (made, PARENT_FILL_SECONDS, "TCP_MISS")
+        } else if upstream.is_some() && !(request.local && upstream.is_some_and(|a| a.kind == Kind::Parent)) {
+            (observed.filled, observed.origin) = (true, true);
+            (unix_ms(), PARENT_FILL_SECONDS + ORIGIN_FILL_SECONDS, "TCP_MISS_ROOT")
         } else {
-            let out = Out { tier: self, attempt: self.record.came(came) };
+            let in_flight = InFlightAttempt { tier: self, attempt: self.record.came(observed) };
             let note = if source.is_some() { "n=PEER_MISS" } else { "-" };
-            answer(write, &path, &format!("{} NONE {note} 0\r\n\r\n", asked.id), &[]).await;
-            return drop(out);
+            write_answer(write, &path, &format!("{} NONE {note} 0\r\n\r\n", request.id), &[]).await;
+            return drop(in_flight);
         };
-        let out = Out { tier: self, attempt: self.record.came(came) };
-        if wait > 0.0 {
-            sleep(Duration::from_secs_f64(wait)).await;
+        let in_flight = InFlightAttempt { tier: self, attempt: self.record.came(observed) };
+        if delay_seconds > 0.0 {
+            sleep(Duration::from_secs_f64(delay_seconds)).await;
         }
-        // What a source gives goes over its link too; nobody waits for more than the slower of both.
-        let given = source.filter(|s| held.is_none() && s.place != node.place && s.kind != Kind::Origin);
-        if let Some(source) = given {
-            self.send_over(source, work).await;
+        // A fill also occupies the link of its source.
+        let sender_node =
+            source.filter(|s| stored.is_none() && s.place != node.place && s.kind != Kind::Origin);
+        if let Some(source) = sender_node {
+            self.transfer(source, work).await;
         }
-        self.send_over(node, work).await;
-        if held.is_none() && key.is_none() {
-            node.keep(object, made);
-            if let Some(parent) = above.filter(|a| a.kind == Kind::Parent) {
-                parent.keep(object, made);
+        self.transfer(node, work).await;
+        if stored.is_none() && key.is_none() {
+            node.store(object, made);
+            if let Some(parent) = upstream.filter(|a| a.kind == Kind::Parent) {
+                parent.store(object, made);
             }
         }
         let body = body(object, made, self.object_bytes);
-        let ttfb = (wait * 1000.0) as u64;
+        let ttfb = (delay_seconds * 1000.0) as u64;
         let head =
-            format!("{} HIT n={note},etag={object:x},made={made},ttfb={ttfb} {}\r\n", asked.id, body.len());
-        if drawn < (breaking * 1000.0) as u64 {
+            format!("{} HIT n={note},etag={object:x},made={made},ttfb={ttfb} {}\r\n", request.id, body.len());
+        if draw < (breaking * 1000.0) as u64 {
             let mut write = write.lock().await;
             let _ = write.write_all(head.as_bytes()).await;
             let _ = write.shutdown().await;
-            return drop(out);
+            return drop(in_flight);
         }
-        answer(write, &path, &head, body.as_bytes()).await;
-        drop(out);
+        write_answer(write, &path, &head, body.as_bytes()).await;
+        drop(in_flight);
     }
 
-    /// Takes what the link takes for it.
-    async fn send_over(&self, node: &Node, work: f64) {
-        let (sender, whole) = oneshot::channel();
-        let name = {
+    /// Sends work over a node's link; returns when the transfer is complete.
+    async fn transfer(&self, node: &Node, work: f64) {
+        let (sender, completion) = oneshot::channel();
+        let id = {
             let state = &mut *locked(&node.state);
-            state.next += 1;
-            state.link.add(self.now(), state.next, work);
-            state.whole.insert(state.next, sender);
-            state.next
+            state.last_transfer += 1;
+            state.link.add(self.now(), state.last_transfer, work);
+            state.completions.insert(state.last_transfer, sender);
+            state.last_transfer
         };
         node.changed.notify_one();
-        let on = OnLink { tier: self, node, name };
-        if let Ok(due) = whole.await {
+        let transfer = Transfer { tier: self, node, id };
+        if let Ok(due) = completion.await {
             self.record.late((self.now() - due).max(0.0));
         }
-        drop(on);
+        drop(transfer);
     }
 }
 
-async fn answer(
+/// Writes an answer as the condition of the path allows.
+async fn write_answer(
     write: &tokio::sync::Mutex<OwnedWriteHalf>,
     path: &watch::Receiver<Path>,
     head: &str,
@@ -386,7 +395,7 @@
     let now = *path.borrow();
     match now {
         Path::Silent | Path::Down | Path::Reset => return,
-        Path::Delayed(by) => sleep(Duration::from_secs_f64(by)).await,
+        Path::Delayed(seconds) => sleep(Duration::from_secs_f64(seconds)).await,
         Path::Open | Path::HalfOpen(_) => {}
     }
     let mut bytes = head.as_bytes().to_vec();
--- a/crates/stand-ins/src/link.rs
+++ b/crates/stand-ins/src/link.rs
@@ -1,128 +1,134 @@
-//! A link that its transfers share evenly, each at full pace at most: processor sharing in virtual time, so
-//! that a change costs the logarithm of what is on it.
+//! A link whose capacity is shared evenly by its transfers, each at its full rate at most: processor sharing
+//! in virtual time, so that a change costs logarithmic time in the number of transfers.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Times in seconds, work in seconds of sending at full pace.
+/// A shared link. Times are in seconds, work is in seconds of sending at the full rate of one transfer.
 #[derive(Debug)]
 pub struct Link {
-    /// Transfers that fit at full pace.
+    /// Capacity: the number of transfers that the link sends at full rate.
     pub size: f64,
-    /// Each transfer's end in virtual time (by bits, which order as the numbers do) and its name.
-    due: BinaryHeap<Reverse<(u64, u64)>>,
+    /// Each transfer's end in virtual time (as the bits of the float, which sort in the same order) and its
+    /// id.
+    scheduled: BinaryHeap<Reverse<(u64, u64)>>,
+    /// Number of transfers in flight.
     active: usize,
-    /// Names of those that were taken back and are still in `due`.
-    gone: std::collections::HashSet<u64>,
-    /// Virtual time: what one transfer that was there from the start would have got.
+    /// Ids of cancelled transfers that are still in `scheduled`.
+    cancelled: std::collections::HashSet<u64>,
+    /// Virtual time: the work done for a transfer that was on the link from the start.
     virtual_now: f64,
-    at: f64,
-    /// Changes with every change of pace, so that a planned end may be found to be out of date.
+    /// When the virtual time was last advanced.
+    updated_at: f64,
+    /// Incremented with each change of the rate, so that a caller can detect that a planned end is out of
+    /// date.
     pub version: u64,
-    /// Work done since it was last asked for.
-    done: f64,
+    /// Work done since the last `take_done`.
+    work_done: f64,
 }
 
 impl Link {
+    /// Creates an idle link of this capacity.
     pub fn new(size: f64) -> Self {
         Link {
             size,
-            due: BinaryHeap::new(),
+            scheduled: BinaryHeap::new(),
             active: 0,
-            gone: Default::default(),
+            cancelled: Default::default(),
             virtual_now: 0.0,
-            at: 0.0,
+            updated_at: 0.0,
             version: 0,
-            done: 0.0,
+            work_done: 0.0,
         }
     }
 
-    fn pace(&self) -> f64 {
+    /// The share of the full rate that each transfer gets.
+    fn rate(&self) -> f64 {
         if self.active == 0 { 0.0 } else { (self.size / self.active as f64).min(1.0) }
     }
 
-    /// Time goes on.
+    /// Advances the virtual time to `now`.
     pub fn advance(&mut self, now: f64) {
-        let step = (now - self.at).max(0.0) * self.pace();
+        let step = (now - self.updated_at).max(0.0) * self.rate();
         self.virtual_now += step;
-        self.done += step * self.active as f64;
-        self.at = now;
+        self.work_done += step * self.active as f64;
+        self.updated_at = now;
     }
 
-    /// A transfer begins.
-    pub fn add(&mut self, now: f64, name: u64, work: f64) {
+    /// Starts a transfer.
+    pub fn add(&mut self, now: f64, id: u64, work: f64) {
         self.advance(now);
-        self.due.push(Reverse(((self.virtual_now + work.max(1e-6)).to_bits(), name)));
+        self.scheduled.push(Reverse(((self.virtual_now + work.max(1e-6)).to_bits(), id)));
         self.active += 1;
         self.version += 1;
     }
 
-    /// A transfer is given up.
-    pub fn remove(&mut self, now: f64, name: u64) {
+    /// Cancels a transfer.
+    pub fn remove(&mut self, now: f64, id: u64) {
         self.advance(now);
-        if self.due.iter().any(|d| d.0.1 == name) && self.gone.insert(name) {
+        if self.scheduled.iter().any(|d| d.0.1 == id) && self.cancelled.insert(id) {
             self.active -= 1;
             self.version += 1;
         }
     }
 
-    /// It has another size from now on.
+    /// Changes the capacity.
     pub fn resize(&mut self, now: f64, size: f64) {
         self.advance(now);
         self.size = size;
         self.version += 1;
     }
 
-    /// Everything on it ends without being whole.
+    /// Cancels all transfers.
     pub fn clear(&mut self, now: f64) {
         self.advance(now);
-        self.due.clear();
-        self.gone.clear();
+        self.scheduled.clear();
+        self.cancelled.clear();
         self.active = 0;
         self.version += 1;
     }
 
-    /// When the next transfer will be whole, if nothing changes.
+    /// Returns when the next transfer will complete if nothing changes.
     pub fn next_end(&mut self) -> Option<f64> {
-        while let Some(Reverse((_, name))) = self.due.peek() {
-            if !self.gone.remove(name) {
+        while let Some(Reverse((_, id))) = self.scheduled.peek() {
+            if !self.cancelled.remove(id) {
                 break;
             }
-            self.due.pop();
+            self.scheduled.pop();
         }
-        let Reverse((end, _)) = self.due.peek()?;
-        Some(self.at + (f64::from_bits(*end) - self.virtual_now).max(0.0) / self.pace())
+        let Reverse((end, _)) = self.scheduled.peek()?;
+        Some(self.updated_at + (f64::from_bits(*end) - self.virtual_now).max(0.0) / self.rate())
     }
 
-    /// The transfers that are whole by now.
+    /// Removes and returns the transfers that are complete by now.
     pub fn whole(&mut self, now: f64) -> Vec<u64> {
         self.advance(now);
         let mut whole = Vec::new();
-        while let Some(Reverse((end, name))) = self.due.peek().copied() {
-            let gone = self.gone.contains(&name);
-            if !gone && f64::from_bits(end) > self.virtual_now + 1e-9 {
+        while let Some(Reverse((end, id))) = self.scheduled.peek().copied() {
+            let cancelled = self.cancelled.contains(&id);
+            if !cancelled && f64::from_bits(end) > self.virtual_now + 1e-9 {
                 break;
             }
-            self.due.pop();
-            if !self.gone.remove(&name) {
+            self.scheduled.pop();
+            if !self.cancelled.remove(&id) {
                 self.active -= 1;
                 self.version += 1;
-                whole.push(name);
+                whole.push(id);
             }
         }
         whole
     }
 
-    /// Transfers on it.
+    /// The number of transfers in flight.
     #[cfg(test)]
     fn active(&self) -> usize {
         self.active
     }
 
-    /// Work done since this was last asked.
+    /// Returns the work done since the last call.
     pub fn take_done(&mut self, now: f64) -> f64 {
         self.advance(now);
-        std::mem::take(&mut self.done)
+        std::mem::take(&mut self.work_done)
     }
 }
 
@@ -131,17 +137,21 @@
     use super::*;
 
     #[test]
-    fn transfers_share_evenly_and_none_is_faster_than_full_pace() {
+    fn transfers_share_the_link_evenly_up_to_the_full_rate() {
         let mut link = Link::new(2.0);
         link.add(0.0, 1, 1.0);
-        assert_eq!(link.next_end(), Some(1.0), "alone at full pace");
+        assert_eq!(link.next_end(), Some(1.0), "one transfer at the full rate");
         link.add(0.0, 2, 1.0);
         link.add(0.0, 3, 1.0);
         link.add(0.0, 4, 1.0);
-        assert_eq!(link.next_end(), Some(2.0), "four on a link of two");
+        assert_eq!(link.next_end(), Some(2.0), "four transfers on a link of capacity two");
         link.remove(1.0, 4);
         link.remove(1.0, 3);
-        assert_eq!(link.next_end(), Some(1.5), "half is done, and the rest goes at full pace");
+        assert_eq!(
+            link.next_end(),
+            Some(1.5),
+            "half of the work is done, and the rest is sent at the full rate"
+        );
         let mut whole = link.whole(1.5);
         whole.sort_unstable();
         assert_eq!((whole, link.active()), (vec![1, 2], 0));
--- a/crates/stand-ins/src/scripted.rs
+++ b/crates/stand-ins/src/scripted.rs
@@ -1,5 +1,5 @@
-//! Stand-ins that a test scripts step by step: what they hear is handed to the test, which says what they answer.
-//! They block, and panic where a test is to fail.
+//! Stand-ins that a test scripts step by step: each hands the requests that it receives to the test, which
+//! chooses the answers. They block, and panic on errors so that the test fails.
 
 use jsonwebtoken::{Algorithm, EncodingKey, Header};
 use serde_json::{Value, json};
@@ -11,17 +11,19 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Envoy's resource types.
+/// Envoy's resource type for clusters.
 pub const CLUSTER: &str = "type.googleapis.com/envoy.config.cluster.v3.Cluster";
+/// Envoy's resource type for the endpoints of a cluster.
 pub const ASSIGNMENT: &str = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment";
-/// Longest wait for anything that is to happen.
+/// Timeout for anything that a test waits for.
 pub const PATIENCE: Duration = Duration::from_secs(20);
 
+/// The Unix time in seconds.
 pub fn unix() -> f64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_secs_f64()
 }
 
-/// A connection for whose unread bytes the system keeps little room, so that they stay where they come from.
+/// Connects with a small receive buffer, so that unread bytes stay queued at the sender.
 pub fn narrow(address: SocketAddr) -> TcpStream {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     socket.set_recv_buffer_size(8 * 1024).unwrap();
@@ -29,16 +31,16 @@
     socket.into()
 }
 
-/// Tries again until it is so.
-pub fn eventually(what: &str, mut so: impl FnMut() -> bool) {
+/// Polls the condition until it is true; panics after [`PATIENCE`].
+pub fn eventually(what: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
-    while !so() {
+    while !condition() {
         assert!(start.elapsed() < PATIENCE, "{what} never happened");
         thread::yield_now();
     }
 }
 
-/// What came in on a cache node's wire, and where its answer goes.
+/// A command that a cache node received, and the connection that its answer goes to.
 pub struct Served {
     pub verb: String,
     pub id: String,
@@ -48,37 +50,40 @@
 }
 
 impl Served {
+    /// Returns the value of a field.
     pub fn field(&self, name: &str) -> Option<&str> {
         crate::field(&self.fields, name)
     }
+    /// Writes an answer with this result word, these fields and this body.
     pub fn answer(&mut self, word: &str, fields: &str, body: &[u8]) {
         let mut out = format!("{} {word} {fields} {}\r\n", self.id, body.len()).into_bytes();
         out.extend_from_slice(body);
         out.extend_from_slice(b"\r\n");
         self.stream.write_all(&out).unwrap();
     }
+    /// Answers with a cache hit.
     pub fn hit(&mut self, body: &[u8]) {
         self.answer("HIT", &format!("n=TCP_HIT,etag=e1,made={}", (unix() * 1000.0) as u64), body);
     }
-    /// Writes these bytes, whatever they are.
+    /// Writes these bytes to the connection as they are.
     pub fn raw(&mut self, bytes: &str) {
         self.stream.write_all(bytes.as_bytes()).unwrap();
     }
-    /// Ends the connection with the request on it.
+    /// Shuts down the connection that the command came on.
     pub fn hang_up(self) {
         self.stream.shutdown(std::net::Shutdown::Both).unwrap();
     }
 }
 
-/// An address at which no connection comes up, and none is refused: as many wait there as may, and whoever else comes is
-/// passed over, until it hears.
+/// A listening address at which a connection attempt is neither accepted nor refused: its accept queue is
+/// full, so that the system ignores further attempts until the server accepts.
 pub struct UnresponsiveClient {
     listener: TcpListener,
-    waiting: Vec<TcpStream>,
+    queued: Vec<TcpStream>,
 }
 
 impl UnresponsiveClient {
-    /// Deaf from now on.
+    /// Starts listening and fills the accept queue.
     #[allow(clippy::new_without_default)]
     pub fn new() -> UnresponsiveClient {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
@@ -86,43 +91,44 @@
         socket.listen(0).unwrap();
         let listener: TcpListener = socket.into();
         let address = listener.local_addr().unwrap();
-        let come = || TcpStream::connect_timeout(&address, Duration::from_millis(200)).ok();
-        let waiting: Vec<_> = (0..3).map_while(|_| come()).collect();
-        assert!((1..3).contains(&waiting.len()), "the system lets {} wait", waiting.len());
-        UnresponsiveClient { listener, waiting }
+        let connect = || TcpStream::connect_timeout(&address, Duration::from_millis(200)).ok();
+        let queued: Vec<_> = (0..3).map_while(|_| connect()).collect();
+        assert!((1..3).contains(&queued.len()), "the system lets {} wait", queued.len());
+        UnresponsiveClient { listener, queued }
     }
 
-    /// Where it listens.
+    /// The listening address.
     pub fn address(&self) -> SocketAddr {
         self.listener.local_addr().unwrap()
     }
 
-    /// Connections come up from now on; the first to be taken are those that only waited, and have ended.
+    /// Returns the listener, which accepts from now on; the first connections that it yields are the queued
+    /// ones, already closed by their clients.
     pub fn hears(self) -> TcpListener {
-        drop(self.waiting);
+        drop(self.queued);
         self.listener
     }
 }
 
-/// A cache node: hands each command that it gets to the test.
+/// Starts a cache node that hands each command that it receives to the test.
 pub fn cache_node() -> (SocketAddr, Receiver<Served>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     (listener.local_addr().unwrap(), cache_node_at(listener))
 }
 
-/// A cache node that takes connections here.
+/// Starts a cache node on this listener.
 pub fn cache_node_at(listener: TcpListener) -> Receiver<Served> {
     let (sender, receiver) = channel();
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             let sender = sender.clone();
-            thread::spawn(move || commands(stream, &sender));
+            thread::spawn(move || read_commands(stream, &sender));
         }
     });
     receiver
 }
 
-fn commands(stream: TcpStream, sender: &Sender<Served>) {
+fn read_commands(stream: TcpStream, sender: &Sender<Served>) {
     let mut reader = BufReader::new(stream.try_clone().unwrap());
     let mut line = String::new();
     while reader.read_line(&mut line).is_ok_and(|n| n > 0) {
@@ -142,7 +148,8 @@
     }
 }
 
-/// A discovery server that serves these nodes, by kind, and hands the requests that it gets to the test.
+/// Starts a discovery server that serves these nodes, by kind, and hands the requests that it receives to the
+/// test.
 pub fn discovery(nodes: Vec<(&'static str, SocketAddr)>) -> (SocketAddr, Receiver<Value>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -150,7 +157,7 @@
     thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
             let (head, body) = read_message(&mut stream);
-            let ask: Value = serde_json::from_slice(&body).unwrap();
+            let request: Value = serde_json::from_slice(&body).unwrap();
             let resources: Vec<Value> = if head.starts_with("POST /v3/discovery:clusters ") {
                 let cluster = |kind: &str| {
                     json!({"@type": CLUSTER, "name": kind,
@@ -160,12 +167,12 @@
             } else {
                 ["standard", "origin"].map(|kind| assignment(kind, &nodes)).to_vec()
             };
-            let response = json!({"version_info": "1", "nonce": "n", "type_url": ask["type_url"],
+            let response = json!({"version_info": "1", "nonce": "n", "type_url": request["type_url"],
                 "resources": resources})
             .to_string();
             let length = response.len();
             let _ = write!(stream, "HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{response}");
-            let _ = sender.send(ask);
+            let _ = sender.send(request);
         }
     });
     (address, receiver)
@@ -185,7 +192,7 @@
         "endpoints": [{"locality": {"zone": zone}, "lb_endpoints": endpoints}]})
 }
 
-/// Reads a message with a stated length.
+/// Reads an HTTP message whose body has a `Content-Length`; returns its head and body.
 pub fn read_message(stream: &mut TcpStream) -> (String, Vec<u8>) {
     stream.set_read_timeout(Some(PATIENCE)).unwrap();
     let (mut head, mut byte) = (Vec::new(), [0]);
@@ -203,7 +210,7 @@
     (head, body)
 }
 
-/// Signs links.
+/// A signer of links, with its key.
 pub struct Signer {
     pub kid: &'static str,
     pub issuer: &'static str,
@@ -213,7 +220,7 @@
 }
 
 impl Signer {
-    /// A signer with a secret of its own.
+    /// Returns a signer that uses this secret with HS256.
     pub fn new(kid: &'static str, issuer: &'static str, secret: &[u8; 32]) -> Self {
         use base64::Engine;
         let k = base64::engine::general_purpose::URL_SAFE_NO_PAD.encode(secret);
@@ -222,33 +229,37 @@
         Signer { kid, issuer, algorithm: Algorithm::HS256, key, jwk }
     }
 
-    /// Claims that are good for a path for a minute.
+    /// Returns claims that allow a path for one minute.
     pub fn claims(&self, path: &str) -> Value {
-        json!({"iss": self.issuer, "aud": "media-1", "exp": unix() + 60.0, "nbf": unix() - 60.0, "cdniv": 1,
+        json!({"iss": self.issuer, "aud": "media-1", "exp": unix() + 60.0,
+            "nbf": unix() - 60.0, "cdniv": 1,
             "cdniuc": format!("regex:https://media\\.example\\.org{path}(\\?.*)?")})
     }
 
+    /// Signs the claims as a JSON Web Token.
     pub fn sign(&self, claims: &Value) -> String {
         let mut header = Header::new(self.algorithm);
         header.kid = Some(self.kid.into());
         jsonwebtoken::encode(&header, claims, &self.key).unwrap()
     }
 
-    /// A link to a path.
+    /// Returns a signed link to a path.
     pub fn link(&self, path: &str) -> String {
         format!("{path}?URISigningPackage={}", self.sign(&self.claims(path)))
     }
 }
 
+/// Returns an HTTP GET request for this target.
 pub fn get(target: &str) -> String {
     format!("GET {target} HTTP/1.1\r\nHost: h\r\n\r\n")
 }
 
+/// Parses the status code of an HTTP answer; returns it with the head and body.
 pub fn status((head, body): (String, Vec<u8>)) -> (u16, String, Vec<u8>) {
     (head[9..12].parse().unwrap(), head, body)
 }
 
-/// Writes a key file in one step.
+/// Writes a key file atomically.
 pub fn write_keys(path: &Path, keys: &[&Signer], revoked: &[&str]) {
     let keys: Vec<&Value> = keys.iter().map(|s| &s.jwk).collect();
     let next = path.with_extension("next");
@@ -256,24 +267,25 @@
     std::fs::rename(next, path).unwrap();
 }
 
-/// Starts the program with this file alone; where it listens, and what else it logs.
+/// Starts the program with `variable` set to this file; returns the process, its listening address and the
+/// lines that it logs after that.
 pub fn start(program: &str, variable: &str, file: &Path) -> (Child, SocketAddr, Receiver<String>) {
     start_with(program, variable, file, &[])
 }
 
-/// The same, with these further variables.
+/// Starts the program as [`start`] does, with additional environment variables.
 pub fn start_with(
     program: &str,
     variable: &str,
     file: &Path,
-    more: &[(&str, &Path)],
+    variables: &[(&str, &Path)],
 ) -> (Child, SocketAddr, Receiver<String>) {
     let mut child = Command::new(program)
         .env_remove("NODE_CONFIG")
         .env_remove("ONYXYOKE_OPERATOR")
         .env_remove("NODE_ADMIN_ADDR")
         .env(variable, file)
-        .envs(more.iter().copied())
+        .envs(variables.iter().copied())
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
