--- a/crates/lab/src/emulate/mod.rs
+++ b/crates/lab/src/emulate/mod.rs
@@ -1,5 +1,5 @@
-//! How evenly the load of many fronts comes out, each of which sees little of it: the table of the design
-//! page, from the directors that ship and a model of the rest.
+//! Measures how evenly many fronts spread their load when each sees only a small part of it. Prints the table
+//! of the design page: the shipped directors decide, the rest of the system is modelled.
 
 mod cases;
 mod plain;
@@ -8,7 +8,7 @@
 mod table;
 mod world;
 
-use cases::{CASES, Case, LOAD, WARM};
+use cases::{CASES, Case, MEAN_LINK_LOAD, WARM_UP_S};
 use onyxyoke::interface::Settings;
 use scenario::Scenario;
 use std::error::Error;
@@ -16,7 +16,7 @@
 use table::Row;
 use world::World;
 
-/// How it is played.
+/// Command-line options of the emulation.
 #[derive(clap::Args)]
 pub struct Options {
     /// Fronts of one location
@@ -28,16 +28,16 @@
     /// Requests a second of one front
     #[arg(long, default_value_t = 0.8)]
     rate: f64,
-    /// Seeds, from this one on
+    /// First seed
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// How many of them
+    /// Number of consecutive seeds
     #[arg(long, default_value_t = 5)]
     seeds: u64,
-    /// A plain policy in place of the director
+    /// Plain policy that chooses in place of the director
     #[arg(long)]
     policy: Option<plain::Policy>,
-    /// Only the cases whose name has this in it
+    /// Play only the cases whose name contains this text
     #[arg(long, default_value = "")]
     only: String,
 }
@@ -48,10 +48,10 @@
     }
 }
 
-/// How long a run goes on after its warm seconds.
-const LOOKED_AT_MOST: f64 = 42.0;
+/// Length of a run after its warm-up (seconds).
+const RUN_AFTER_WARM_UP_S: f64 = 42.0;
 
-/// Plays every case with every seed and prints the table.
+/// Plays every case with every seed and prints a line of means for each case.
 pub fn run(options: &Options) -> Result<bool, Box<dyn Error>> {
     let settings = operator_settings()?;
     println!(
@@ -68,18 +68,18 @@
     Ok(true)
 }
 
-/// The settings of the operator's example.
+/// Returns the settings of the operator's example.
 fn operator_settings() -> Result<Settings, Box<dyn Error>> {
     let operator: serde_json::Value = toml::from_str(crate::OPERATOR)?;
     Ok(onyxyoke::config::settings(operator["settings"].to_string().as_bytes())?)
 }
 
-/// Plays a case with every seed at once.
+/// Plays a case with every seed, each in a thread of its own.
 fn play_seeds(options: &Options, case: &Case, settings: &Settings) -> Vec<Row> {
     std::thread::scope(|scope| {
         let play = |seed| scope.spawn(move || play(options, case, settings, seed));
         let runs: Vec<_> = options.seed_range().map(play).collect();
-        runs.into_iter().map(|run| run.join().expect("a run that ends")).collect()
+        runs.into_iter().map(|run| run.join().expect("a run panicked")).collect()
     })
 }
 
@@ -89,7 +89,8 @@
     Row::new(&world.statistics, case)
 }
 
-/// The usual scenario with a case's changes; objects are of such a size that the links are loaded as meant.
+/// Returns the usual scenario with a case's changes. The mean object size is chosen so that the links carry
+/// `MEAN_LINK_LOAD`.
 fn scenario(options: &Options, case: &Case, seed: u64) -> Scenario {
     let mut scenario = Scenario {
         fronts: options.fronts,
@@ -101,13 +102,13 @@
         objects: 3_000,
         link_sizes: vec![4.0],
         mean_work: 1.0,
-        duration: WARM + LOOKED_AT_MOST,
+        duration: WARM_UP_S + RUN_AFTER_WARM_UP_S,
         seed,
         faults: Vec::new(),
         policy: options.policy,
     };
     (case.change)(&mut scenario);
     let links: f64 = (0..scenario.caches).map(|cache| scenario.link_size(cache)).sum();
-    scenario.mean_work = LOAD * links / (scenario.fronts as f64 * scenario.request_rate);
+    scenario.mean_work = MEAN_LINK_LOAD * links / (scenario.fronts as f64 * scenario.request_rate);
     scenario
 }
--- a/crates/lab/src/emulate/scenario.rs
+++ b/crates/lab/src/emulate/scenario.rs
@@ -1,8 +1,8 @@
-//! What a run plays: the fronts, the caches, the load on them and the faults.
+//! The input of a run: the fronts, the caches, the load on them and the faults.
 
 use super::plain::Policy;
 
-/// A fault, the caches that it hits (by index), and when it starts and ends (seconds from the start of the run).
+/// A fault, the caches that it affects (by index), and its start and end (seconds from the start of the run).
 #[derive(Debug, Clone)]
 pub struct Fault {
     pub kind: FaultKind,
@@ -11,21 +11,22 @@
     pub until: f64,
 }
 
-/// What may go wrong.
+/// The kinds of faults.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum FaultKind {
-    /// The caches' links are so many times as narrow.
-    Slow(f64),
-    /// The caches are gone, and come back empty and cold.
-    Gone,
-    /// One object is this share of all requests; no cache is named.
-    Hot(f64),
+    /// The caches' link sizes are divided by this factor.
+    SlowLinks(f64),
+    /// The caches are down, and come back empty and cold.
+    CachesDown,
+    /// One object gets this share of all requests; no cache is named.
+    HotObject(f64),
     /// All copies at all caches are dropped.
-    Emptied,
-    /// All fronts start again and know nothing.
+    CachesEmptied,
+    /// All fronts restart without any state.
     FrontsRestart,
-    /// This share of the fronts is gone, their clients go to the others, and they come back knowing nothing.
-    FrontsGone(f64),
+    /// This share of the fronts is down and their clients use the others; the fronts come back without any
+    /// state.
+    FrontsDown(f64),
 }
 
 /// The input of a run.
@@ -33,15 +34,15 @@
 pub struct Scenario {
     pub fronts: usize,
     pub caches: usize,
-    /// Requests a second of one front in the mean.
+    /// Mean requests per second of one front.
     pub request_rate: f64,
-    /// Share of the fronts that sees `busy_factor` times the rate of the others.
+    /// Share of the fronts that receive `busy_factor` times the rate of the others.
     pub busy_share: f64,
     pub busy_factor: f64,
     /// Exponent of the objects' popularity.
     pub zipf_exponent: f64,
     pub objects: u64,
-    /// Link sizes of the first, the second cache, and so on in turn, in transfers at full pace.
+    /// Link sizes, assigned to the caches in rotation, in concurrent transfers at full pace.
     pub link_sizes: Vec<f64>,
     /// Mean sending time of an object at full pace (seconds).
     pub mean_work: f64,
@@ -49,12 +50,12 @@
     pub duration: f64,
     pub seed: u64,
     pub faults: Vec<Fault>,
-    /// A plain policy that chooses in place of the director.
+    /// The plain policy that chooses in place of the director, if any.
     pub policy: Option<Policy>,
 }
 
 impl Scenario {
-    /// The link size of a cache.
+    /// Returns the link size of a cache.
     pub fn link_size(&self, cache: usize) -> f64 {
         self.link_sizes[cache % self.link_sizes.len()]
     }
--- a/crates/lab/src/emulate/world/attempts.rs
+++ b/crates/lab/src/emulate/world/attempts.rs
@@ -1,36 +1,36 @@
-//! Attempts: what a cache finds, the transfer over its link, and the end that the front hears of.
+//! Attempts: the lookup in a cache, the transfer over its link, and the end that the front is notified of.
 
 use super::World;
 use super::caches::{CACHE_CAPACITY, CacheIndex};
 use super::requests::{OpenRequest, RequestKey};
 use super::schedule::ScheduledEvent;
 use super::transfers::{AttemptKey, Transfer, TransferId};
-use super::upstream::{ORIGIN_WAIT, PARENT_WAIT, UpstreamAnswer};
+use super::upstream::{ORIGIN_WAIT_S, PARENT_WAIT_S, UpstreamAnswer};
 use onyxyoke::interface::{Event, NodeId, Note, Outcome};
 
-/// To a cache and back (seconds).
-const ROUND_TRIP: f64 = 0.004;
-const ONE_WAY: f64 = ROUND_TRIP / 2.0;
-/// From one cache to another, by way of what lies above both (seconds).
-const SIBLING_WAIT: f64 = 2.0 * ROUND_TRIP;
+/// Round trip from a front to a cache (seconds).
+const ROUND_TRIP_S: f64 = 0.004;
+const ONE_WAY_S: f64 = ROUND_TRIP_S / 2.0;
+/// Wait for another cache, which is reached by way of the level above both (seconds).
+const SIBLING_WAIT_S: f64 = 2.0 * ROUND_TRIP_S;
 
-/// Where an attempt goes.
+/// The cache that an attempt goes to and the source of its fill.
 #[derive(Debug, Clone, Copy)]
 pub struct FetchOrder {
     pub node: NodeId,
-    /// Where the cache fills from what it lacks.
+    /// Source from which the cache fills a missing object.
     pub source: NodeId,
-    /// The source is not to fetch what it lacks.
+    /// Whether the source must not fetch an object that it lacks.
     pub only_if_cached: bool,
 }
 
-/// What a cache finds for an attempt.
+/// The result of an attempt's lookup in a cache.
 enum Lookup {
-    /// A copy, its own or the source's.
+    /// The cache or the source has a copy.
     Found { note: Note, source_wait: f64, fills: bool },
-    /// Nothing, which it says after so many seconds.
+    /// Neither has a copy; the cache answers after this many seconds.
     Missed { note: Note, after: f64 },
-    /// Nothing, since the source is not reached, which it says after so many seconds.
+    /// The source can't be reached; the cache answers after this many seconds.
     SourceFailed { after: f64 },
 }
 
@@ -41,7 +41,7 @@
 }
 
 impl World {
-    /// A front sends an attempt of a request that is still open.
+    /// Starts an attempt of a request, unless the request is closed.
     pub(super) fn start_attempt(&mut self, key: RequestKey, order: FetchOrder) {
         let Some(request) = self.open.get_mut(&key) else { return };
         let number = request.attempts;
@@ -57,12 +57,12 @@
             fills: false,
         };
         if !self.caches[cache].up {
-            return self.end_attempt_after(ROUND_TRIP, transfer, Outcome::ConnectFailed);
+            return self.end_attempt_after(ROUND_TRIP_S, transfer, Outcome::ConnectFailed);
         }
         match self.look_up(cache, &request, order) {
             Lookup::Found { note, source_wait, fills } => {
                 let id = self.transfers.insert(Transfer { note, source_wait, fills, ..transfer });
-                self.schedule.after(ONE_WAY + source_wait, ScheduledEvent::TransferStart(id));
+                self.schedule.after(ONE_WAY_S + source_wait, ScheduledEvent::TransferStart(id));
             }
             Lookup::Missed { note, after } => {
                 self.end_attempt_after(after, Transfer { note, ..transfer }, Outcome::Miss);
@@ -79,7 +79,7 @@
             return Lookup::Found { note: Note::Hit, source_wait: 0.0, fills: false };
         }
         if order.source == order.node {
-            return Lookup::Missed { note: Note::None, after: ROUND_TRIP };
+            return Lookup::Missed { note: Note::None, after: ROUND_TRIP_S };
         }
         match self.caches.iter().position(|sibling| sibling.id == order.source) {
             Some(sibling) => self.fill_from_sibling(sibling, request),
@@ -87,36 +87,37 @@
         }
     }
 
-    /// What a sibling gives takes of its link too. One that is gone refuses the connection.
+    /// Fills from a sibling, which loads the sibling's link too. A sibling that is down refuses the
+    /// connection.
     fn fill_from_sibling(&mut self, sibling: CacheIndex, request: &OpenRequest) -> Lookup {
         if !self.caches[sibling].up {
-            return Lookup::SourceFailed { after: SIBLING_WAIT };
+            return Lookup::SourceFailed { after: SIBLING_WAIT_S };
         }
         if !self.caches[sibling].copies.contains(request.object) {
-            return Lookup::Missed { note: Note::SourceMiss, after: SIBLING_WAIT };
+            return Lookup::Missed { note: Note::SourceMiss, after: SIBLING_WAIT_S };
         }
         let id = self.transfers.new_id();
         self.caches[sibling].link.add(self.schedule.now(), id, request.work);
         self.schedule_link_progress(sibling);
-        Lookup::filled(Note::Filled, SIBLING_WAIT)
+        Lookup::filled(Note::Filled, SIBLING_WAIT_S)
     }
 
     fn fill_from_upstream(&mut self, request: &OpenRequest, order: FetchOrder) -> Lookup {
         match self.upstream.fetch(order.source, request.object, order.only_if_cached) {
-            UpstreamAnswer::NotHeld => Lookup::Missed { note: Note::SourceMiss, after: PARENT_WAIT },
+            UpstreamAnswer::NotHeld => Lookup::Missed { note: Note::SourceMiss, after: PARENT_WAIT_S },
             UpstreamAnswer::FromParent => {
                 self.statistics.work_filled += request.work;
-                Lookup::filled(Note::Filled, PARENT_WAIT)
+                Lookup::filled(Note::Filled, PARENT_WAIT_S)
             }
             UpstreamAnswer::FromOrigin => {
                 self.statistics.work_filled += request.work;
                 self.statistics.work_from_origin += request.work;
-                Lookup::filled(Note::FilledFromOrigin, PARENT_WAIT + ORIGIN_WAIT)
+                Lookup::filled(Note::FilledFromOrigin, PARENT_WAIT_S + ORIGIN_WAIT_S)
             }
         }
     }
 
-    /// The cache begins to send, unless the attempt was taken back.
+    /// Starts sending over the cache's link, unless the attempt was cancelled.
     pub(super) fn start_transfer(&mut self, id: TransferId) {
         let Some(transfer) = self.transfers.get(id) else { return };
         let work = self.open.get(&transfer.attempt.request).map_or(0.0, |request| request.work);
@@ -124,28 +125,28 @@
         self.schedule_link_progress(transfer.cache);
     }
 
-    /// Ends the transfers that are whole, unless the link has changed since this was scheduled.
+    /// Ends the complete transfers of a link, unless it has changed since this was scheduled.
     pub(super) fn finish_transfers(&mut self, cache: CacheIndex, version: u64) {
         if self.caches[cache].link.version != version {
             return;
         }
         for id in self.caches[cache].link.whole(self.schedule.now()) {
             if let Some(transfer) = self.transfers.remove(id) {
-                self.end_attempt_after(ONE_WAY, transfer, Outcome::Ok);
+                self.end_attempt_after(ONE_WAY_S, transfer, Outcome::Ok);
             }
         }
         self.schedule_link_progress(cache);
     }
 
-    /// A front takes an attempt back.
+    /// Cancels an attempt on behalf of its front.
     pub(super) fn cancel_attempt(&mut self, attempt: AttemptKey) {
-        if let Some(transfer) = self.take_off_link(attempt) {
+        if let Some(transfer) = self.remove_transfer(attempt) {
             self.end_attempt_after(0.0, transfer, Outcome::Cancelled);
         }
     }
 
-    /// Stops the transfer of an attempt that is under way.
-    pub(super) fn take_off_link(&mut self, attempt: AttemptKey) -> Option<Transfer> {
+    /// Removes the transfer of an attempt in flight from its link.
+    pub(super) fn remove_transfer(&mut self, attempt: AttemptKey) -> Option<Transfer> {
         let (id, transfer) = self.transfers.remove_attempt(attempt)?;
         self.caches[transfer.cache].link.remove(self.schedule.now(), id);
         self.schedule_link_progress(transfer.cache);
@@ -156,14 +157,14 @@
         self.schedule.after(delay, ScheduledEvent::AttemptEnd(transfer, outcome));
     }
 
-    /// An attempt has ended: its request may be answered, the cache may have a copy, and the front hears of it.
+    /// Ends an attempt: answers its request and stores the copy if it was successful, and notifies the front.
     pub(super) fn end_attempt(&mut self, transfer: Transfer, outcome: Outcome) {
         let key = transfer.attempt.request;
         let mut done = true;
         if let Some(request) = self.open.get(&key).copied() {
             if outcome == Outcome::Ok {
                 self.answer(key, request);
-                self.keep_copy(&transfer, request.object);
+                self.store_copy(&transfer, request.object);
             } else {
                 done = self.schedule.now() >= request.expires;
             }
@@ -171,7 +172,7 @@
         self.notify_front(key.front, self.attempt_end_event(&transfer, outcome, done));
     }
 
-    fn keep_copy(&mut self, transfer: &Transfer, object: u64) {
+    fn store_copy(&mut self, transfer: &Transfer, object: u64) {
         let cache = &mut self.caches[transfer.cache];
         if transfer.fills && cache.up {
             cache.copies.insert(object, CACHE_CAPACITY);
--- a/crates/lab/src/emulate/world/attempts/tests.rs
+++ b/crates/lab/src/emulate/world/attempts/tests.rs
@@ -1,4 +1,4 @@
-//! What becomes of a fill, by the state of the source that is named for it.
+//! Outcomes of a fill, by the state of its source.
 
 use super::*;
 use crate::emulate::operator_settings;
@@ -7,11 +7,11 @@
 use onyxyoke::interface::RequestId;
 
 const OBJECT: u64 = 7;
-const ASKED: CacheIndex = 0;
-const SIBLING: CacheIndex = 1;
+const ASKED_CACHE: CacheIndex = 0;
+const SIBLING_CACHE: CacheIndex = 1;
 const REQUEST: RequestKey = RequestKey { front: 0, id: RequestId(1) };
 
-/// How an attempt ended, and after so many seconds.
+/// How an attempt ended, and after how many seconds.
 #[derive(Debug, PartialEq)]
 struct Ending {
     outcome: Outcome,
@@ -19,7 +19,8 @@
     after: f64,
 }
 
-/// Three caches without copies, and a front to which nobody sends a request in the time of a test.
+/// Creates three caches without copies, and a front whose request rate is too low for an arrival within a
+/// test.
 fn world() -> World {
     let scenario = Scenario {
         fronts: 1,
@@ -39,13 +40,13 @@
     World::new(scenario, operator_settings().unwrap())
 }
 
-/// Plays an attempt that is to be filled from this source, to its end.
+/// Plays an attempt with this fill source to its end.
 fn fill_from(world: &mut World, source: NodeId) -> Ending {
     let now = world.schedule.now();
     let request =
         OpenRequest { object: OBJECT, work: 0.1, arrived_at: now, expires: now + 10.0, attempts: 0 };
     world.open.insert(REQUEST, request);
-    let order = FetchOrder { node: world.caches[ASKED].id, source, only_if_cached: false };
+    let order = FetchOrder { node: world.caches[ASKED_CACHE].id, source, only_if_cached: false };
     world.start_attempt(REQUEST, order);
     loop {
         match world.schedule.advance().expect("the end of the attempt") {
@@ -57,7 +58,7 @@
     }
 }
 
-fn hold_copy(world: &mut World, cache: CacheIndex) {
+fn insert_copy(world: &mut World, cache: CacheIndex) {
     world.caches[cache].copies.insert(OBJECT, CACHE_CAPACITY);
 }
 
@@ -67,66 +68,66 @@
 }
 
 #[test]
-fn a_sibling_gives_what_it_holds() {
+fn sibling_with_a_copy_fills_the_cache() {
     let mut world = world();
-    hold_copy(&mut world, SIBLING);
-    let sibling = world.caches[SIBLING].id;
+    insert_copy(&mut world, SIBLING_CACHE);
+    let sibling = world.caches[SIBLING_CACHE].id;
     assert_ending(&fill_from(&mut world, sibling), Outcome::Ok, Note::Filled);
     assert_eq!(world.statistics.work_filled, 0.0, "no parent was asked");
 }
 
 #[test]
-fn a_sibling_without_a_copy_fetches_none() {
+fn sibling_without_a_copy_reports_a_miss_and_fetches_nothing() {
     let mut world = world();
-    let sibling = world.caches[SIBLING].id;
+    let sibling = world.caches[SIBLING_CACHE].id;
     assert_ending(&fill_from(&mut world, sibling), Outcome::Miss, Note::SourceMiss);
     assert_eq!(world.statistics.work_filled, 0.0, "no parent was asked");
 }
 
 #[test]
-fn a_sibling_that_is_gone_fails_the_fill() {
+fn fill_from_a_sibling_that_is_down_fails() {
     let mut world = world();
-    hold_copy(&mut world, SIBLING);
-    world.caches[SIBLING].up = false;
-    let sibling = world.caches[SIBLING].id;
+    insert_copy(&mut world, SIBLING_CACHE);
+    world.caches[SIBLING_CACHE].up = false;
+    let sibling = world.caches[SIBLING_CACHE].id;
     let ending = fill_from(&mut world, sibling);
     assert_ending(&ending, Outcome::Error, Note::SourceFailed);
-    assert!((ending.after - SIBLING_WAIT).abs() < 1e-9, "{ending:?}");
+    assert!((ending.after - SIBLING_WAIT_S).abs() < 1e-9, "{ending:?}");
     assert_eq!(world.statistics.work_filled, 0.0, "no parent was asked");
     assert_eq!(world.statistics.work_from_origin, 0.0, "nor the origin");
 }
 
 #[test]
-fn a_sibling_that_is_back_holds_nothing() {
+fn restarted_sibling_is_empty() {
     let mut world = world();
-    hold_copy(&mut world, SIBLING);
-    world.caches[SIBLING].up = false;
-    let sibling = world.caches[SIBLING].id;
+    insert_copy(&mut world, SIBLING_CACHE);
+    world.caches[SIBLING_CACHE].up = false;
+    let sibling = world.caches[SIBLING_CACHE].id;
     assert_ending(&fill_from(&mut world, sibling), Outcome::Error, Note::SourceFailed);
-    world.caches[SIBLING].up = true;
-    world.caches[SIBLING].return_empty(world.schedule.now());
+    world.caches[SIBLING_CACHE].up = true;
+    world.caches[SIBLING_CACHE].restart_empty(world.schedule.now());
     assert_ending(&fill_from(&mut world, sibling), Outcome::Miss, Note::SourceMiss);
 }
 
 #[test]
-fn the_asked_cache_as_its_source_fills_nothing() {
+fn cache_named_as_its_own_source_reports_a_miss() {
     let mut world = world();
-    let asked = world.caches[ASKED].id;
+    let asked = world.caches[ASKED_CACHE].id;
     assert_ending(&fill_from(&mut world, asked), Outcome::Miss, Note::None);
 }
 
 #[test]
-fn a_parent_fetches_what_it_lacks_once() {
+fn parent_fetches_a_missing_object_once() {
     let mut world = world();
     let parent = Upstream::parent_of(OBJECT);
     assert_ending(&fill_from(&mut world, parent), Outcome::Ok, Note::FilledFromOrigin);
     assert_ending(&fill_from(&mut world, parent), Outcome::Ok, Note::Filled);
 }
 
-/// A front that names a node that was on none of its lists is at fault.
+/// A source that was on none of the front's lists is a fault of the front.
 #[test]
 #[should_panic(expected = "a listed source")]
-fn a_source_that_was_never_listed_is_a_fault() {
+fn unlisted_source_panics() {
     let mut world = world();
     fill_from(&mut world, NodeId(0xdead));
 }
--- a/crates/lab/src/emulate/world/caches.rs
+++ b/crates/lab/src/emulate/world/caches.rs
@@ -1,26 +1,27 @@
-//! The caches, their links, and the copies that they hold.
+//! The caches, their links and their stored copies.
 
 use super::World;
 use super::schedule::ScheduledEvent;
-use crate::emulate::statistics::WINDOW;
+use crate::emulate::statistics::WINDOW_S;
 use onyxyoke::interface::{Node, NodeId, NodeState, ZoneId};
 use onyxyoke_stand_ins::link::Link;
 use std::collections::{HashSet, VecDeque};
 
-/// A cache's place in the world.
+/// Index of a cache in the world.
 pub type CacheIndex = usize;
 
-/// Copies that a cache holds at most.
+/// Largest number of copies in a cache.
 pub const CACHE_CAPACITY: usize = 1_500;
 /// The zone of the caches in the settings.
 const CACHE_ZONE: ZoneId = ZoneId(1);
-/// Spreads the caches' ids, so that they say nothing of the order.
+/// Spreads the caches' ids, so that they don't follow the order of the caches.
 const ID_FACTOR: u64 = 0x9e37_79b9;
 const ID_MASK: u64 = 0xffff_ffff;
-/// How long after its warm-up a cache's link is still looked at (seconds).
-const WARM_UP_OVERRUN: f64 = 2.0 * WINDOW;
+/// Time after its warm-up for which a cache's link is still resized, so that it reaches its full size
+/// (seconds).
+const WARM_UP_OVERRUN_S: f64 = 2.0 * WINDOW_S;
 
-/// The objects that are held; the oldest copy makes room for a new one.
+/// Stored copies of objects, with first-in, first-out eviction.
 #[derive(Default)]
 pub struct CopyStore {
     objects: HashSet<u64>,
@@ -48,12 +49,12 @@
 /// A cache node.
 pub struct Cache {
     pub id: NodeId,
-    /// The size of its link when it is warm and nothing is wrong, in transfers at full pace.
+    /// Link size when the cache is warm and without a fault, in concurrent transfers at full pace.
     pub usual_link: f64,
     pub link: Link,
     pub copies: CopyStore,
     pub up: bool,
-    /// When it came back empty; 0 if it never was away.
+    /// Time at which the cache came back empty; 0 if it was never down.
     pub ready_at: f64,
 }
 
@@ -64,8 +65,8 @@
         Cache { id, usual_link: link_size, link, copies: CopyStore::default(), up: true, ready_at: 0.0 }
     }
 
-    /// The cache as the list of the nodes tells of it.
-    pub fn listed(&self) -> Node {
+    /// Returns the cache's entry in the list of nodes.
+    pub fn node_entry(&self) -> Node {
         Node {
             id: self.id,
             state: if self.up { NodeState::Ready } else { NodeState::Withdrawn },
@@ -76,25 +77,25 @@
         }
     }
 
-    /// The cache is back, and holds nothing.
-    pub fn return_empty(&mut self, now: f64) {
+    /// Drops all copies and restarts the warm-up.
+    pub fn restart_empty(&mut self, now: f64) {
         self.copies = CopyStore::default();
         self.ready_at = now;
     }
 
-    /// Whether it is cold, or was until just now.
+    /// Returns whether the cache is warming up, or was until `WARM_UP_OVERRUN_S` ago.
     fn is_warming(&self, now: f64, warm_up_time: f64) -> bool {
-        self.ready_at > 0.0 && now - self.ready_at < warm_up_time + WARM_UP_OVERRUN
+        self.ready_at > 0.0 && now - self.ready_at < warm_up_time + WARM_UP_OVERRUN_S
     }
 }
 
 impl World {
-    /// The cache that has this id; attempts go only to caches that were listed.
+    /// Returns the index of the cache with this id; attempts go only to listed caches.
     pub(super) fn cache_index(&self, id: NodeId) -> CacheIndex {
-        self.caches.iter().position(|cache| cache.id == id).expect("a listed cache")
+        self.caches.iter().position(|cache| cache.id == id).expect("the node is not a listed cache")
     }
 
-    /// Schedules the end of the next transfer on a cache's link, which is to be done after each change to it.
+    /// Schedules the end of the next transfer on a cache's link; called after each change to the link.
     pub(super) fn schedule_link_progress(&mut self, cache: CacheIndex) {
         let link = &mut self.caches[cache].link;
         if let Some(at) = link.next_end() {
@@ -108,7 +109,7 @@
         self.schedule_link_progress(cache);
     }
 
-    /// The links of cold caches grow with the time since they came back.
+    /// Grows the links of cold caches with the time since they came back.
     pub(super) fn warm_up_caches(&mut self) {
         let (first_share, warm_up_time) = (self.settings.cold_start_share, self.settings.warm_up_time);
         let now = self.schedule.now();
@@ -120,15 +121,15 @@
                 self.resize_link(index, cache.usual_link * share);
             }
         }
-        self.schedule.after(WINDOW, ScheduledEvent::WarmUp);
+        self.schedule.after(WINDOW_S, ScheduledEvent::WarmUpStep);
     }
 
-    /// Counts the work that each cache did in the window that ends now.
+    /// Records the work that each cache did in the window that ends now.
     pub(super) fn end_window(&mut self) {
         let now = self.schedule.now();
         for (cache, work) in self.caches.iter_mut().zip(&mut self.statistics.work_by_window) {
             work.push(cache.link.take_done(now) / cache.usual_link);
         }
-        self.schedule.after(WINDOW, ScheduledEvent::WindowEnd);
+        self.schedule.after(WINDOW_S, ScheduledEvent::WindowEnd);
     }
 }
--- a/crates/lab/src/emulate/world/faults.rs
+++ b/crates/lab/src/emulate/world/faults.rs
@@ -1,4 +1,4 @@
-//! The scenario's faults, as they start and end.
+//! Starts and ends the faults of the scenario.
 
 use super::World;
 use super::caches::{CacheIndex, CopyStore};
@@ -8,45 +8,45 @@
 use onyxyoke::interface::Outcome;
 use std::ops::Range;
 
-/// How late fronts hear that a cache is gone, and that it is back (seconds).
-const GONE_LISTED_AFTER: f64 = 3.0;
-const BACK_LISTED_AFTER: f64 = 1.0;
+/// Delay after which fronts are notified that a cache is down, and that it is back (seconds).
+const DOWN_LISTING_DELAY_S: f64 = 3.0;
+const UP_LISTING_DELAY_S: f64 = 1.0;
 
 impl World {
     pub(super) fn start_fault(&mut self, fault: usize) {
         let fault = self.scenario.faults[fault].clone();
         match fault.kind {
-            FaultKind::Hot(share) => self.hot_share = share,
-            FaultKind::Emptied => self.empty_caches(),
+            FaultKind::HotObject(share) => self.hot_share = share,
+            FaultKind::CachesEmptied => self.empty_caches(),
             FaultKind::FrontsRestart => self.restart_fronts(0..self.fronts.len()),
-            FaultKind::FrontsGone(share) => {
-                self.first_front_up = self.fronts_in(share);
-                self.forget_requests(&(0..self.first_front_up));
+            FaultKind::FrontsDown(share) => {
+                self.first_front_in_service = self.fronts_in(share);
+                self.drop_requests(&(0..self.first_front_in_service));
             }
-            FaultKind::Slow(factor) => {
+            FaultKind::SlowLinks(factor) => {
                 for cache in fault.caches {
                     self.resize_link(cache, self.caches[cache].usual_link / factor);
                 }
             }
-            FaultKind::Gone => fault.caches.into_iter().for_each(|cache| self.stop_cache(cache)),
+            FaultKind::CachesDown => fault.caches.into_iter().for_each(|cache| self.stop_cache(cache)),
         }
     }
 
     pub(super) fn end_fault(&mut self, fault: usize) {
         let fault = self.scenario.faults[fault].clone();
         match fault.kind {
-            FaultKind::Hot(_) => self.hot_share = 0.0,
-            FaultKind::Emptied | FaultKind::FrontsRestart => {}
-            FaultKind::FrontsGone(share) => {
-                self.first_front_up = 0;
+            FaultKind::HotObject(_) => self.hot_share = 0.0,
+            FaultKind::CachesEmptied | FaultKind::FrontsRestart => {}
+            FaultKind::FrontsDown(share) => {
+                self.first_front_in_service = 0;
                 self.restart_fronts(0..self.fronts_in(share));
             }
-            FaultKind::Slow(_) => {
+            FaultKind::SlowLinks(_) => {
                 for cache in fault.caches {
                     self.resize_link(cache, self.caches[cache].usual_link);
                 }
             }
-            FaultKind::Gone => fault.caches.into_iter().for_each(|cache| self.start_cache(cache)),
+            FaultKind::CachesDown => fault.caches.into_iter().for_each(|cache| self.start_cache(cache)),
         }
     }
 
@@ -61,14 +61,14 @@
     }
 
     fn restart_fronts(&mut self, fronts: Range<FrontIndex>) {
-        self.forget_requests(&fronts);
+        self.drop_requests(&fronts);
         self.restart_directors(fronts);
     }
 
-    /// What these fronts had under way goes on at the caches, and nobody waits for it.
-    fn forget_requests(&mut self, fronts: &Range<FrontIndex>) {
+    /// Drops the open requests of these fronts; their transfers go on at the caches.
+    fn drop_requests(&mut self, fronts: &Range<FrontIndex>) {
         self.open.retain(|request, _| !fronts.contains(&request.front));
-        self.transfers.disown(fronts);
+        self.transfers.detach_fronts(fronts);
     }
 
     fn stop_cache(&mut self, index: CacheIndex) {
@@ -78,13 +78,13 @@
         for transfer in self.transfers.remove_of_cache(index) {
             self.end_attempt_after(0.0, transfer, Outcome::Reset);
         }
-        self.schedule.after(GONE_LISTED_AFTER, ScheduledEvent::CacheListed(index));
+        self.schedule.after(DOWN_LISTING_DELAY_S, ScheduledEvent::CacheListed(index));
     }
 
     fn start_cache(&mut self, index: CacheIndex) {
         let cache = &mut self.caches[index];
         cache.up = true;
-        cache.return_empty(self.schedule.now());
-        self.schedule.after(BACK_LISTED_AFTER, ScheduledEvent::CacheListed(index));
+        cache.restart_empty(self.schedule.now());
+        self.schedule.after(UP_LISTING_DELAY_S, ScheduledEvent::CacheListed(index));
     }
 }
--- a/crates/lab/src/emulate/world/fronts.rs
+++ b/crates/lab/src/emulate/world/fronts.rs
@@ -1,4 +1,4 @@
-//! The fronts: their directors, or a plain policy in place of these.
+//! The fronts, each with a director or a plain policy in its place.
 
 use super::World;
 use super::attempts::FetchOrder;
@@ -14,19 +14,19 @@
 use std::ops::Range;
 use std::sync::Arc;
 
-/// A front's place in the world, which is its number in the settings too.
+/// Index of a front in the world, also its director number in the settings.
 pub type FrontIndex = usize;
 
-/// One front.
+/// An emulated front.
 pub struct Front {
     pub director: Director,
     /// Requests a second.
     pub request_rate: f64,
-    /// What it sent each cache (kB), which plain policies go by.
+    /// Amount sent to each cache (kB), used by plain policies.
     pub sent_kb: Vec<f64>,
 }
 
-/// Requests a second of a front; the busy ones come first.
+/// Returns a front's requests per second; the busy fronts have the lowest indices.
 pub fn request_rate(scenario: &Scenario, front: FrontIndex) -> f64 {
     let busy_fronts = (scenario.busy_share * scenario.fronts as f64) as usize;
     let mean_factor = 1.0 + scenario.busy_share * (scenario.busy_factor - 1.0);
@@ -35,7 +35,7 @@
 }
 
 impl World {
-    /// A director that has just started and knows the list of the nodes only.
+    /// Creates a director that has received nothing but the list of nodes.
     pub(super) fn new_director(&mut self, front: FrontIndex) -> Director {
         let settings = Settings { director_number: front as u16, ..self.settings.clone() };
         let mut director = Director::new(self.random.random(), settings);
@@ -45,26 +45,26 @@
     }
 
     fn listed_nodes(&self) -> Arc<[Node]> {
-        let caches = self.caches.iter().filter(|cache| cache.up).map(|cache| cache.listed());
-        caches.chain(Upstream::listed()).collect()
+        let caches = self.caches.iter().filter(|cache| cache.up).map(|cache| cache.node_entry());
+        caches.chain(Upstream::node_entries()).collect()
     }
 
-    /// The directors of these fronts start again.
+    /// Replaces the directors of these fronts with new ones.
     pub(super) fn restart_directors(&mut self, fronts: Range<FrontIndex>) {
         for front in fronts {
             self.fronts[front].director = self.new_director(front);
         }
     }
 
-    /// All fronts hear of a cache's state.
+    /// Sends a cache's state to all fronts.
     pub(super) fn list_cache(&mut self, cache: usize) {
-        let nodes: Arc<[Node]> = [self.caches[cache].listed()].into();
+        let nodes: Arc<[Node]> = [self.caches[cache].node_entry()].into();
         for front in 0..self.fronts.len() {
             self.notify_front(front, Event::List { kind: ListKind::Delta, nodes: nodes.clone() });
         }
     }
 
-    /// A front hears an event, and does what its director or its plain policy wants done.
+    /// Passes an event to a front's director or plain policy, and performs the resulting actions.
     pub(super) fn notify_front(&mut self, front: FrontIndex, event: Event) {
         if let Some(policy) = self.scenario.policy {
             return self.apply_plain_policy(policy, front, &event);
@@ -91,13 +91,14 @@
                 });
             }
             Action::SetTimer { token, after } => {
-                self.schedule.after(after, ScheduledEvent::Alarm(front, token));
+                self.schedule.after(after, ScheduledEvent::Timer(front, token));
             }
             _ => {}
         }
     }
 
-    /// A plain policy chooses the cache, fills from a parent by hash, and does not try again.
+    /// Handles an event by a plain policy, which chooses the cache, fills from a parent by hash, and does not
+    /// retry.
     fn apply_plain_policy(&mut self, policy: Policy, front: FrontIndex, event: &Event) {
         match event {
             Event::Request(request) => self.send_by_plain_policy(policy, front, request),
--- a/crates/lab/src/emulate/world/mod.rs
+++ b/crates/lab/src/emulate/world/mod.rs
@@ -1,5 +1,5 @@
-//! Many directors of one location between caches whose links are shared, in virtual time: the code that ships
-//! decides, the rest of the system is a model. One seed gives one run.
+//! Emulates the directors of one location and caches with shared links in virtual time. The shipped director
+//! code decides, the rest of the system is a model. A run is determined by its seed.
 
 mod attempts;
 mod caches;
@@ -11,7 +11,7 @@
 mod upstream;
 
 use super::scenario::Scenario;
-use super::statistics::{Statistics, WINDOW};
+use super::statistics::{Statistics, WINDOW_S};
 use caches::Cache;
 use fronts::Front;
 use onyxyoke::interface::{Event, Settings};
@@ -24,7 +24,7 @@
 use transfers::TransferTable;
 use upstream::Upstream;
 
-/// A run of one scenario.
+/// The state of a run of one scenario.
 pub struct World {
     scenario: Scenario,
     settings: Settings,
@@ -32,20 +32,20 @@
     popularity: Zipf<f64>,
     schedule: Schedule,
     fronts: Vec<Front>,
-    /// Fronts from here on are in service.
-    first_front_up: usize,
+    /// Fronts with this index or a higher one are in service.
+    first_front_in_service: usize,
     caches: Vec<Cache>,
     upstream: Upstream,
     open: HashMap<RequestKey, OpenRequest>,
     transfers: TransferTable,
-    /// Share of the requests that asks for the one hot object.
+    /// Share of the requests that ask for the hot object.
     hot_share: f64,
     pub statistics: Statistics,
 }
 
 impl World {
-    /// A world in which nothing was asked yet. The settings are those of one front; what the scenario says of all
-    /// of them, and each front's number, is filled in.
+    /// Creates a world without requests. `settings` are those of one front; the values that follow from the
+    /// scenario and each front's number are filled in.
     pub fn new(scenario: Scenario, settings: Settings) -> World {
         let caches: Vec<Cache> =
             (0..scenario.caches).map(|index| Cache::new(index, scenario.link_size(index))).collect();
@@ -53,10 +53,10 @@
             settings: shared_settings(&scenario, &caches, settings),
             random: SmallRng::seed_from_u64(scenario.seed),
             popularity: Zipf::new(scenario.objects as f64, scenario.zipf_exponent)
-                .expect("a popularity that falls off"),
+                .expect("the Zipf exponent or the number of objects is out of range"),
             schedule: Schedule::new(),
             fronts: Vec::new(),
-            first_front_up: 0,
+            first_front_in_service: 0,
             caches,
             upstream: Upstream::default(),
             open: HashMap::new(),
@@ -67,8 +67,8 @@
         };
         world.start_fronts();
         world.schedule_faults();
-        world.schedule.after(WINDOW, ScheduledEvent::WindowEnd);
-        world.schedule.after(WINDOW, ScheduledEvent::WarmUp);
+        world.schedule.after(WINDOW_S, ScheduledEvent::WindowEnd);
+        world.schedule.after(WINDOW_S, ScheduledEvent::WarmUpStep);
         world
     }
 
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Plays the scenario to its end.
+    /// Processes events until the end of the scenario.
     pub fn play(&mut self) {
         let end = self.schedule.now() + self.scenario.duration;
         while let Some(event) = self.schedule.advance() {
@@ -103,8 +103,8 @@
 
     fn handle(&mut self, event: ScheduledEvent) {
         match event {
-            ScheduledEvent::Arrival(front) => self.arrive(front),
-            ScheduledEvent::Alarm(front, token) => self.notify_front(front, Event::TimerFired { token }),
+            ScheduledEvent::Arrival(front) => self.handle_arrival(front),
+            ScheduledEvent::Timer(front, token) => self.notify_front(front, Event::TimerFired { token }),
             ScheduledEvent::TransferStart(id) => self.start_transfer(id),
             ScheduledEvent::LinkProgress(cache, version) => self.finish_transfers(cache, version),
             ScheduledEvent::AttemptEnd(transfer, outcome) => self.end_attempt(transfer, outcome),
@@ -112,13 +112,13 @@
             ScheduledEvent::FaultStart(fault) => self.start_fault(fault),
             ScheduledEvent::FaultEnd(fault) => self.end_fault(fault),
             ScheduledEvent::CacheListed(cache) => self.list_cache(cache),
-            ScheduledEvent::WarmUp => self.warm_up_caches(),
+            ScheduledEvent::WarmUpStep => self.warm_up_caches(),
             ScheduledEvent::WindowEnd => self.end_window(),
         }
     }
 }
 
-/// The settings that all fronts of the scenario have.
+/// Returns the settings that all fronts of the scenario share.
 fn shared_settings(scenario: &Scenario, caches: &[Cache], settings: Settings) -> Settings {
     let links: f64 = caches.iter().map(|cache| cache.usual_link).sum();
     Settings {
--- a/crates/lab/src/emulate/world/transfers.rs
+++ b/crates/lab/src/emulate/world/transfers.rs
@@ -1,4 +1,4 @@
-//! The attempts that are under way, each of them a transfer over a cache's link.
+//! The attempts in flight, each a transfer over a cache's link.
 
 use super::caches::CacheIndex;
 use super::fronts::FrontIndex;
@@ -7,40 +7,40 @@
 use std::collections::{BTreeMap, HashMap};
 use std::ops::Range;
 
-/// The name of a transfer on its link.
+/// Identifies a transfer on its link.
 pub type TransferId = u64;
 
-/// An attempt of a request, by number from 0 on.
+/// Identifies an attempt of a request, numbered from 0.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct AttemptKey {
     pub request: RequestKey,
     pub number: u16,
 }
 
-/// An attempt on its way.
+/// An attempt in flight.
 #[derive(Debug, Clone, Copy)]
 pub struct Transfer {
     pub attempt: AttemptKey,
     pub cache: CacheIndex,
     pub sent_at: f64,
-    /// How long the cache waits for the source of its fill (seconds).
+    /// Time that the cache waits for the source of its fill (seconds).
     pub source_wait: f64,
     pub note: Note,
-    /// Whether the cache has a copy of the object once the transfer is whole.
+    /// Whether the cache stores a copy of the object once the transfer is complete.
     pub fills: bool,
 }
 
-/// All transfers, by id and by attempt.
+/// All transfers in flight, by id and by attempt.
 #[derive(Default)]
 pub struct TransferTable {
     last_id: TransferId,
     transfers: BTreeMap<TransferId, Transfer>,
-    /// Only the attempts whose front still waits for them.
+    /// Ids by attempt, only of attempts whose front still waits for them.
     ids: HashMap<AttemptKey, TransferId>,
 }
 
 impl TransferTable {
-    /// An id that no transfer had before.
+    /// Returns an id that no transfer has had before.
     pub fn new_id(&mut self) -> TransferId {
         self.last_id += 1;
         self.last_id
@@ -69,7 +69,7 @@
         Some((id, transfer))
     }
 
-    /// Takes all transfers of a cache, the oldest first.
+    /// Removes all transfers of a cache and returns them, oldest first.
     pub fn remove_of_cache(&mut self, cache: CacheIndex) -> Vec<Transfer> {
         let ids: Vec<TransferId> = self
             .transfers
@@ -80,8 +80,9 @@
         ids.into_iter().filter_map(|id| self.remove(id)).collect()
     }
 
-    /// These fronts wait for nothing any longer; their transfers go on at the caches.
-    pub fn disown(&mut self, fronts: &Range<FrontIndex>) {
+    /// Detaches the transfers of these fronts, which no longer wait for them; the transfers go on at the
+    /// caches.
+    pub fn detach_fronts(&mut self, fronts: &Range<FrontIndex>) {
         self.ids.retain(|attempt, _| !fronts.contains(&attempt.request.front));
     }
 }
