--- a/crates/lab/src/rollouts/plain.rs
+++ b/crates/lab/src/rollouts/plain.rs
@@ -1,82 +1,123 @@
-//! What one would do without the gate: all fronts at once; stages that a fixed threshold judges; stages that a t-test
-//! judges every second, as if each look were the only one.
+//! Baselines for the gate: all fronts at once, stages that a fixed threshold judges, and stages that a t-test
+//! judges every second, without a correction for repeated testing.
 
-use super::world::{STEP, World};
+use super::world::{STEP_S, World};
 use onyxyoke::rollout::{Counts, Release, Stage};
 use statrs::distribution::{ContinuousCDF, StudentsT};
 
-/// Who judges.
+/// The rule that judges the stages.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Judge {
-    /// Nobody: all fronts change at once.
-    Nobody,
-    /// More than three in a hundred of the new fronts' requests are not served.
+    /// No rule: all fronts change at once.
+    AllAtOnce,
+    /// Stops if more than 3 % of the new fronts' requests are not served.
     Threshold,
-    /// A one-sided Welch t-test of shares by front and second, at one in a hundred.
+    /// Stops by a one-sided Welch t-test of the shares by front and second, at the 1 % level.
     TTest,
 }
 
-/// How it ended: stopped or not, in which stage, after how long.
+/// How a rollout ended: whether it was stopped, in which stage (by index), and after how many seconds.
 pub struct RolloutOutcome {
     pub stopped: bool,
     pub stage: usize,
     pub seconds: f64,
 }
 
-const SOAK: f64 = 40.0;
-const MOST: f64 = 0.03;
-const ALPHA: f64 = 0.01;
-/// Sums of shares: how many, their sum, that of their squares.
-type Shares = (f64, f64, f64);
+/// Time before the first stage, as long as the gate's rollouts watch (seconds).
+const WATCH_S: f64 = 20.0;
+/// Length of a stage (seconds).
+const STAGE_S: f64 = 40.0;
+/// Largest share of unserved requests that the threshold accepts.
+const MAX_UNSERVED_SHARE: f64 = 0.03;
+/// Requests of the new side below which the threshold does not judge.
+const MIN_REQUESTS: f64 = 50.0;
+/// Significance level of the t-test.
+const SIGNIFICANCE: f64 = 0.01;
+/// Samples of each side below which the t-test does not judge.
+const MIN_SAMPLES: f64 = 3.0;
 
-/// Plays it; the stages are those that the gate's rollout would take.
+/// Sums over the shares of unserved requests by front and second.
+#[derive(Clone, Copy, Default)]
+struct ShareSums {
+    samples: f64,
+    sum: f64,
+    sum_of_squares: f64,
+}
+
+impl ShareSums {
+    /// Returns the mean, and its squared standard error.
+    fn mean_and_variance(self) -> (f64, f64) {
+        let mean = self.sum / self.samples;
+        let variance = (self.sum_of_squares / self.samples - mean * mean).max(0.0) * self.samples
+            / (self.samples - 1.0)
+            / self.samples;
+        (mean, variance)
+    }
+}
+
+/// Requests of a side, and those of them that were not served.
+#[derive(Clone, Copy, Default)]
+struct RequestSums {
+    requests: f64,
+    unserved: f64,
+}
+
+/// Plays a rollout that `judge` judges; `stages` are those of the gate's rollout.
 pub fn play(
     world: &mut World,
     judge: Judge,
     stages: &[Stage],
-    mut trouble: impl FnMut(f64) -> (f64, Option<usize>),
+    mut background_failures: impl FnMut(f64) -> (f64, Option<usize>),
 ) -> RolloutOutcome {
     let all = stages.iter().flat_map(|s| s.fronts.iter().copied()).collect();
-    let parts: Vec<Vec<usize>> = match judge {
-        Judge::Nobody => vec![all],
+    let batches: Vec<Vec<usize>> = match judge {
+        Judge::AllAtOnce => vec![all],
         _ => stages.iter().map(|s| s.fronts.clone()).collect(),
     };
-    // As long as the gate's rollouts are only watched.
-    while world.now < 20.0 {
-        world.trouble = trouble(world.now);
-        world.pass(&mut Vec::new());
+    while world.now < WATCH_S {
+        world.background_failures = background_failures(world.now);
+        world.advance(&mut Vec::new());
     }
     let mut stopped = None;
-    for (stage, fronts) in parts.iter().enumerate() {
-        fronts.iter().for_each(|&f| world.swap(f, Release::New));
-        let begun = world.now;
+    for (stage, fronts) in batches.iter().enumerate() {
+        fronts.iter().for_each(|&f| world.replace_process(f, Release::New));
+        let stage_start = world.now;
         let mut before = world.counts();
-        // New and old: shares by front and second, and sums.
-        let (mut shares, mut sums) = ([Shares::default(); 2], [(0.0, 0.0); 2]);
-        while world.now - begun < SOAK && stopped.is_none() {
-            for _ in 0..(1.0 / STEP) as usize {
-                world.trouble = trouble(world.now);
-                world.pass(&mut Vec::new());
+        // Indexed by side: new, then old.
+        let (mut shares, mut sums) = ([ShareSums::default(); 2], [RequestSums::default(); 2]);
+        while world.now - stage_start < STAGE_S && stopped.is_none() {
+            for _ in 0..(1.0 / STEP_S) as usize {
+                world.background_failures = background_failures(world.now);
+                world.advance(&mut Vec::new());
             }
             let counts = world.counts();
-            for (was, is) in before.iter().zip(&counts) {
-                let i = usize::from(is.0 == Release::Old);
-                let sum = |c: &[Counts], of: &dyn Fn(&Counts) -> u64| c.iter().map(of).sum::<u64>() as f64;
-                let asked = sum(&is.1, &|c| c.requests()) - sum(&was.1, &|c| c.requests());
-                let bad = sum(&is.1, &|c| c.busy + c.failed) - sum(&was.1, &|c| c.busy + c.failed);
-                if asked > 0.0 {
-                    let (share, s) = (bad / asked, &mut shares[i]);
-                    *s = (s.0 + 1.0, s.1 + share, s.2 + share * share);
-                    sums[i] = (sums[i].0 + asked, sums[i].1 + bad);
+            for (earlier, current) in before.iter().zip(&counts) {
+                let side = usize::from(current.0 == Release::Old);
+                let sum = |classes: &[Counts], count: &dyn Fn(&Counts) -> u64| {
+                    classes.iter().map(count).sum::<u64>() as f64
+                };
+                let requests = sum(&current.1, &|c| c.requests()) - sum(&earlier.1, &|c| c.requests());
+                let unserved =
+                    sum(&current.1, &|c| c.busy + c.failed) - sum(&earlier.1, &|c| c.busy + c.failed);
+                if requests > 0.0 {
+                    let share = unserved / requests;
+                    shares[side].samples += 1.0;
+                    shares[side].sum += share;
+                    shares[side].sum_of_squares += share * share;
+                    sums[side].requests += requests;
+                    sums[side].unserved += unserved;
                 }
             }
             before = counts;
-            let worse = match judge {
-                Judge::Nobody => false,
-                Judge::Threshold => sums[0].0 >= 50.0 && sums[0].1 / sums[0].0 > MOST,
-                Judge::TTest => differs(shares[0], shares[1]),
+            let stops = match judge {
+                Judge::AllAtOnce => false,
+                Judge::Threshold => {
+                    sums[0].requests >= MIN_REQUESTS
+                        && sums[0].unserved / sums[0].requests > MAX_UNSERVED_SHARE
+                }
+                Judge::TTest => is_significantly_greater(shares[0], shares[1]),
             };
-            if worse {
+            if stops {
                 stopped = Some(stage);
             }
         }
@@ -85,26 +126,23 @@
         }
     }
     if stopped.is_some() {
-        (0..world.counts().len()).for_each(|f| world.swap(f, Release::Old));
+        (0..world.counts().len()).for_each(|f| world.replace_process(f, Release::Old));
     }
-    let stage = stopped.unwrap_or(parts.len() - 1);
+    let stage = stopped.unwrap_or(batches.len() - 1);
     RolloutOutcome { stopped: stopped.is_some(), stage, seconds: world.now }
 }
 
-/// Is the first mean greater than the second, by Welch's test?
-fn differs(a: Shares, b: Shares) -> bool {
-    let of = |s: Shares| {
-        let mean = s.1 / s.0;
-        (mean, (s.2 / s.0 - mean * mean).max(0.0) * s.0 / (s.0 - 1.0) / s.0)
-    };
-    if a.0 < 3.0 || b.0 < 3.0 {
+/// Returns whether the first mean is significantly greater than the second by Welch's test.
+fn is_significantly_greater(a: ShareSums, b: ShareSums) -> bool {
+    if a.samples < MIN_SAMPLES || b.samples < MIN_SAMPLES {
         return false;
     }
-    let ((ma, va), (mb, vb)) = (of(a), of(b));
-    if va + vb <= 0.0 {
+    let ((mean_a, variance_a), (mean_b, variance_b)) = (a.mean_and_variance(), b.mean_and_variance());
+    if variance_a + variance_b <= 0.0 {
         return false;
     }
-    let t = (ma - mb) / (va + vb).sqrt();
-    let freedom = (va + vb).powi(2) / (va * va / (a.0 - 1.0) + vb * vb / (b.0 - 1.0));
-    StudentsT::new(0.0, 1.0, freedom).is_ok_and(|d| 1.0 - d.cdf(t) < ALPHA)
+    let t = (mean_a - mean_b) / (variance_a + variance_b).sqrt();
+    let degrees_of_freedom = (variance_a + variance_b).powi(2)
+        / (variance_a * variance_a / (a.samples - 1.0) + variance_b * variance_b / (b.samples - 1.0));
+    StudentsT::new(0.0, 1.0, degrees_of_freedom).is_ok_and(|d| 1.0 - d.cdf(t) < SIGNIFICANCE)
 }
--- a/crates/lab/src/rollouts/world.rs
+++ b/crates/lab/src/rollouts/world.rs
@@ -1,5 +1,5 @@
-//! Fronts as a rollout sees them, modelled in virtual time: processes that start, answer, end and fail, with counters
-//! drawn at random. What decides is the code that ships, `onyxyoke::rollout::RolloutController`.
+//! A model of the fronts of a rollout in virtual time: processes that start, answer, exit and fail, with
+//! counters drawn at random. The shipped `onyxyoke::rollout::RolloutController` makes the decisions.
 
 mod play;
 mod traffic;
@@ -12,62 +12,81 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// A step of time, and how long processes take to say yes and to end (seconds).
-pub const STEP: f64 = 0.25;
-const START: f64 = 0.5;
-const LEAVE: f64 = 1.0;
-/// For so long a process serves worse since it starts empty: at first so much of its requests (seconds, share).
-const COLD: (f64, f64) = (20.0, 0.04);
-/// The share of served requests that is late on an ordinary day.
-const LATE: f64 = 0.05;
-/// Fronts are in so many locations, in turn.
-const LOCATIONS: usize = 3;
-/// Classes: requests a second of a mean front, and the share that is not served on an ordinary day.
-pub const CLASSES: [(&str, f64, f64); 2] = [("media", 7.75, 0.01), ("holds", 0.25, 0.01)];
+/// Length of a step of virtual time (seconds).
+pub const STEP_S: f64 = 0.25;
+/// Time from the start of a process until it is ready (seconds).
+const START_DELAY_S: f64 = 0.5;
+/// Time from SIGTERM until a process exits (seconds).
+const EXIT_DELAY_S: f64 = 1.0;
+/// Time for which a new process fails more requests, since it starts with empty state (seconds).
+const COLD_SPAN_S: f64 = 20.0;
+/// Additional share of requests that fails at the start of a process; it falls to 0 within `COLD_SPAN_S`.
+const COLD_FAILED_SHARE: f64 = 0.04;
+/// Share of served requests that is late without harm.
+const LATE_SHARE: f64 = 0.05;
+/// Number of locations, to which the fronts are assigned in rotation.
+const LOCATION_COUNT: usize = 3;
+/// The classes of requests.
+pub const CLASSES: [ClassLoad; 2] = [
+    ClassLoad { name: "media", requests_per_s: 7.75, failed_share: 0.01 },
+    ClassLoad { name: "holds", requests_per_s: 0.25, failed_share: 0.01 },
+];
+
+/// The load of a class of requests.
+#[derive(Debug)]
+pub struct ClassLoad {
+    pub name: &'static str,
+    /// Requests per second of a front with the mean load.
+    pub requests_per_s: f64,
+    /// Share that is not served without harm.
+    pub failed_share: f64,
+}
 
-/// What is wrong with the new side.
+/// The harm that the new side does.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Harm {
     None,
-    /// This share of requests is not served; of one class, at one location, from so old on (seconds).
+    /// This share of requests is not served, in one class or all, at one location or all, from this process
+    /// age on (seconds).
     Unserved {
         share: f64,
         class: Option<usize>,
         location: Option<usize>,
         after: f64,
     },
-    /// Every request takes so many attempts more.
+    /// Additional share of the requests that takes another attempt.
     Retries(f64),
-    /// Answers take so many times as long; how long they take is exponential, and one in twenty is late on an ordinary day.
+    /// Factor of the answer time, which is exponentially distributed with `LATE_SHARE` late without harm.
     Slower(f64),
-    /// Memory grows by so many KB a second, from so old on.
+    /// Growth of memory (KB per second) from this process age on (seconds).
     Leak(f64, f64),
-    /// Everybody at its location, old and new, fails by this share more for each of the fronts that is new.
+    /// Additional share of requests that fails at all fronts of a location, old and new, multiplied by the
+    /// share of its fronts that run the new side.
     Neighbours(f64),
 }
 
-/// What happens to whom, whatever the side.
+/// Faults of a front's process, on either side, or of the rollout tool.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Fault {
     /// The next process does not start.
     NotStarted,
-    /// The next process never says yes.
+    /// The next process never becomes ready.
     NeverReady,
-    /// The next process ends half a second after it began.
+    /// The next process exits half a second after its start.
     EndsEarly,
-    /// The process that serves ends by itself.
+    /// The serving process exits by itself.
     Crashed,
-    /// The process that serves says nothing any more.
+    /// The serving process no longer answers.
     Silent,
-    /// The next SIGTERM is not heeded.
+    /// The serving process ignores SIGTERM and SIGHUP from now on.
     Stays,
-    /// The next process says that it runs something else.
+    /// The next process reports another build.
     Lies,
-    /// This program is killed and started again.
+    /// The rollout tool is killed and restarted.
     ToolKilled,
 }
 
-/// Everything that may go wrong with one front, for whoever explores it.
+/// All faults, for the exploration of fault combinations.
 pub const FAULTS: [Fault; 8] = [
     Fault::NotStarted,
     Fault::NeverReady,
@@ -83,14 +102,14 @@
 struct Process {
     run: Run,
     side: Release,
-    began: f64,
-    told: Option<f64>,
+    started_at: f64,
+    term_at: Option<f64>,
     reading: Reading,
     ready: bool,
     silent: bool,
-    lies: bool,
-    deaf: bool,
-    ends: f64,
+    reports_other_build: bool,
+    ignores_signals: bool,
+    exits_at: f64,
 }
 
 #[derive(Debug, Clone, Default)]
@@ -98,27 +117,29 @@
     processes: Vec<Process>,
     location: usize,
     rate: f64,
-    /// Its requests fail so many times as often as others'.
-    worse: f64,
-    next: Run,
-    faults: Vec<Fault>,
+    /// Factor of the share of its requests that fails without harm.
+    failure_factor: f64,
+    next_run: Run,
+    pending_faults: Vec<Fault>,
 }
 
-/// The fronts.
+/// The modelled fronts.
 pub struct World {
     pub now: f64,
     pub harm: Harm,
     machines: Vec<Machine>,
     random: SmallRng,
-    /// Requests that were asked, that the harm made fail, and that came where no process served.
-    pub asked: u64,
+    /// Number of requests that arrived.
+    pub requests: u64,
+    /// Requests that failed because of the harm.
     pub harmed: u64,
+    /// Requests that arrived at a front without a serving process.
     pub unreached: u64,
-    /// This share of all requests fails now, at one location or everywhere.
-    pub trouble: (f64, Option<usize>),
+    /// Share of requests that currently fails on both sides, at one location or everywhere.
+    pub background_failures: (f64, Option<usize>),
 }
 
-/// A plan over so many fronts in three locations, in the times of the model.
+/// Returns a plan for this many fronts in `LOCATION_COUNT` locations, with spans that suit the model.
 pub fn plan(fronts: usize, seed: u64) -> Plan {
     let built = |name: &str| Built { program: name.into(), variables: Default::default() };
     let mut plan = Plan {
@@ -128,14 +149,14 @@
         fronts: (0..fronts)
             .map(|i| Front {
                 name: format!("n{i}"),
-                location: format!("branch{}", i % LOCATIONS),
+                location: format!("branch{}", i % LOCATION_COUNT),
                 operators: ([127, 0, 0, 1], 1).into(),
                 settings: "settings".into(),
                 new_settings: None,
                 folder: "folder".into(),
             })
             .collect(),
-        classes: CLASSES.iter().map(|c| c.0.to_owned()).collect(),
+        classes: CLASSES.iter().map(|c| c.name.to_owned()).collect(),
         spans: Default::default(),
         limits: Default::default(),
         gates: Default::default(),
@@ -149,85 +170,99 @@
 }
 
 impl World {
-    /// Fronts that have run for long, each with its own load.
+    /// Creates fronts that have run long enough to be warm, each with a load of its own.
     pub fn new(fronts: usize, seed: u64, harm: Harm) -> World {
         let mut random = SmallRng::seed_from_u64(seed);
         let mut machines = Vec::new();
         for i in 0..fronts {
-            let (rate, worse) = (random.random_range(0.5..1.5), random.random_range(0.6..1.4));
-            let mut machine = Machine { location: i % LOCATIONS, rate, worse, next: 2, ..Machine::default() };
+            let (rate, failure_factor) = (random.random_range(0.5..1.5), random.random_range(0.6..1.4));
+            let mut machine = Machine {
+                location: i % LOCATION_COUNT,
+                rate,
+                failure_factor,
+                next_run: 2,
+                ..Machine::default()
+            };
             machine.processes.push(Process::new(1, Release::Old, -1e3));
             machine.processes[0].ready = true;
             machines.push(machine);
         }
-        let trouble = (0.0, None);
-        World { now: 0.0, harm, machines, random, asked: 0, harmed: 0, unreached: 0, trouble }
+        let background_failures = (0.0, None);
+        World { now: 0.0, harm, machines, random, requests: 0, harmed: 0, unreached: 0, background_failures }
     }
 
-    /// Something happens to a front.
-    pub fn fault(&mut self, front: usize, fault: Fault) {
+    /// Applies a fault to a front's serving process, or keeps it for the front's next process.
+    pub fn inject_fault(&mut self, front: usize, fault: Fault) {
         let now = self.now;
         let machine = &mut self.machines[front];
-        let serves = machine.processes.iter_mut().rev().find(|p| p.ready && p.told.is_none());
-        match (fault, serves) {
-            (Fault::Crashed, Some(p)) => p.ends = now,
+        let serving = machine.processes.iter_mut().rev().find(|p| p.ready && p.term_at.is_none());
+        match (fault, serving) {
+            (Fault::Crashed, Some(p)) => p.exits_at = now,
             (Fault::Silent, Some(p)) => p.silent = true,
-            (Fault::Stays, Some(p)) => p.deaf = true,
+            (Fault::Stays, Some(p)) => p.ignores_signals = true,
             (Fault::Crashed | Fault::Silent | Fault::Stays | Fault::ToolKilled, _) => {}
-            (fault, _) => machine.faults.push(fault),
+            (fault, _) => machine.pending_faults.push(fault),
         }
     }
 
-    /// Each front's processes as somebody who asks them finds them.
-    pub fn found(&self) -> Vec<FoundProcesses> {
+    /// Returns the processes of each front as a query finds them.
+    pub fn found_processes(&self) -> Vec<FoundProcesses> {
         let found = |m: &Machine| FoundProcesses {
-            runs: m.processes.iter().map(|p| (p.run, p.says())).collect(),
-            next: m.next,
+            runs: m.processes.iter().map(|p| (p.run, p.health())).collect(),
+            next: m.next_run,
         };
         self.machines.iter().map(found).collect()
     }
 
-    /// Does a front run this side, and nothing else?
-    pub fn runs(&self, side: Release) -> bool {
+    /// Returns whether each front runs exactly one process, of this side.
+    pub fn all_run(&self, side: Release) -> bool {
         self.machines.iter().all(|m| m.processes.len() == 1 && m.processes[0].side == side)
     }
 
-    /// A front has another process at once, which takes clients from the start.
-    pub fn swap(&mut self, front: usize, side: Release) {
+    /// Replaces a front's processes with one of this side that is ready at once, unless it already runs this
+    /// side.
+    pub fn replace_process(&mut self, front: usize, side: Release) {
         let machine = &mut self.machines[front];
         if machine.processes.last().is_none_or(|p| p.side != side) {
-            let mut process = Process::new(machine.next, side, self.now);
+            let mut process = Process::new(machine.next_run, side, self.now);
             process.ready = true;
-            machine.next += 1;
+            machine.next_run += 1;
             machine.processes = vec![process];
         }
     }
 
-    /// What each front runs, and its counts since the first process; those of one that is gone are gone.
+    /// Returns the side of each front's latest process and that process's counts; counts of earlier processes
+    /// are lost.
     pub fn counts(&self) -> Vec<(Release, Vec<Counts>)> {
         let last = |m: &Machine| m.processes.last().map(|p| (p.side, p.reading.classes.clone()));
         self.machines.iter().filter_map(last).collect()
     }
 
-    /// Does a process of a front take clients?
-    pub fn serves(&self, front: usize) -> bool {
+    /// Returns whether a process of the front accepts clients.
+    pub fn has_serving_process(&self, front: usize) -> bool {
         self.machines[front].processes.iter().any(|p| p.ready)
     }
 
-    fn tell(&mut self, front: usize, order: ProcessCommand, heard: &mut Vec<(usize, ProcessObservation)>) {
+    /// Executes a command of the controller.
+    fn execute(
+        &mut self,
+        front: usize,
+        command: ProcessCommand,
+        observations: &mut Vec<(usize, ProcessObservation)>,
+    ) {
         let now = self.now;
         let machine = &mut self.machines[front];
-        match order {
+        match command {
             ProcessCommand::Start(run, side) => {
-                machine.next = machine.next.max(run + 1);
-                let fault = machine.faults.pop();
+                machine.next_run = machine.next_run.max(run + 1);
+                let fault = machine.pending_faults.pop();
                 if fault == Some(Fault::NotStarted) {
-                    return heard.push((front, ProcessObservation::StartFailed(run)));
+                    return observations.push((front, ProcessObservation::StartFailed(run)));
                 }
                 let mut process = Process::new(run, side, now);
                 match fault {
-                    Some(Fault::EndsEarly) => process.ends = now + 0.5,
-                    Some(Fault::Lies) => process.lies = true,
+                    Some(Fault::EndsEarly) => process.exits_at = now + 0.5,
+                    Some(Fault::Lies) => process.reports_other_build = true,
                     Some(Fault::NeverReady) => process.silent = true,
                     _ => {}
                 }
@@ -235,29 +270,33 @@
             }
             ProcessCommand::Term(run) => {
                 let process = machine.processes.iter_mut().find(|p| p.run == run);
-                if let Some(p) = process.filter(|p| !p.deaf) {
-                    p.told.get_or_insert(now);
-                    p.ends = p.ends.min(now + LEAVE);
+                if let Some(p) = process.filter(|p| !p.ignores_signals) {
+                    p.term_at.get_or_insert(now);
+                    p.exits_at = p.exits_at.min(now + EXIT_DELAY_S);
                 }
             }
             ProcessCommand::Kill(run) => {
                 if let Some(p) = machine.processes.iter_mut().find(|p| p.run == run) {
-                    p.ends = now;
+                    p.exits_at = now;
                 }
             }
             ProcessCommand::Reload(run, side) => {
-                if let Some(p) = machine.processes.iter_mut().find(|p| p.run == run && !p.deaf) {
+                if let Some(p) = machine.processes.iter_mut().find(|p| p.run == run && !p.ignores_signals) {
                     p.side = side;
                 }
             }
         }
     }
 
-    /// What all processes say.
-    fn ask(&self, heard: &mut Vec<(usize, ProcessObservation)>, readings: &mut Vec<(usize, Reading)>) {
+    /// Queries all processes for their health and readings.
+    fn query_processes(
+        &self,
+        observations: &mut Vec<(usize, ProcessObservation)>,
+        readings: &mut Vec<(usize, Reading)>,
+    ) {
         for (front, machine) in self.machines.iter().enumerate() {
             for p in &machine.processes {
-                heard.push((front, ProcessObservation::Answered(p.run, p.says())));
+                observations.push((front, ProcessObservation::Answered(p.run, p.health())));
                 if !p.silent && p.ready {
                     readings.push((front, p.reading.clone()));
                 }
@@ -267,22 +306,33 @@
 }
 
 impl Process {
-    fn new(run: Run, side: Release, began: f64) -> Process {
+    fn new(run: Run, side: Release, started_at: f64) -> Process {
         let reading = Reading {
             run,
             classes: vec![Counts::default(); CLASSES.len()],
             descriptors: 40,
             ..Reading::default()
         };
-        let (silent, lies, deaf) = (false, false, false);
-        Process { run, side, began, told: None, reading, ready: false, silent, lies, deaf, ends: f64::MAX }
+        let (silent, reports_other_build, ignores_signals) = (false, false, false);
+        Process {
+            run,
+            side,
+            started_at,
+            term_at: None,
+            reading,
+            ready: false,
+            silent,
+            reports_other_build,
+            ignores_signals,
+            exits_at: f64::MAX,
+        }
     }
 
-    fn says(&self) -> Health {
+    fn health(&self) -> Health {
         match self.side {
             _ if self.silent => Health::NoAnswer,
-            _ if !self.ready || self.told.is_some() => Health::NotServing,
-            _ if self.lies => Health::OtherBuild,
+            _ if !self.ready || self.term_at.is_some() => Health::NotServing,
+            _ if self.reports_other_build => Health::OtherBuild,
             side => Health::Serving(side),
         }
     }
--- a/crates/lab/src/rollouts/world/traffic.rs
+++ b/crates/lab/src/rollouts/world/traffic.rs
@@ -1,127 +1,132 @@
-//! What happens in a step of time: processes get ready and end, requests come, resources are used.
+//! A step of virtual time: processes become ready and exit, requests arrive, resources are used.
 
-use super::{CLASSES, COLD, Harm, LATE, LOCATIONS, Process, START, STEP, World};
+use super::{
+    CLASSES, COLD_FAILED_SHARE, COLD_SPAN_S, Harm, LATE_SHARE, LOCATION_COUNT, Process, START_DELAY_S,
+    STEP_S, World,
+};
 use onyxyoke::rollout::{ProcessObservation, Release};
 use rand::Rng;
 use rand_distr::{Binomial, Distribution, Poisson};
 
-/// The share of requests that takes a second attempt on an ordinary day.
-const REPEATED: f64 = 0.05;
-/// Memory of a process at its start, and what it takes more in its first minute (KB).
-const MEMORY_AT_START: u64 = 12_000;
-const MEMORY_OF_AGE: f64 = 4_000.0;
-/// The time in which memory grows of itself (seconds).
-const GROWTH_TIME: f64 = 60.0;
-/// Processor time of a process in a second (seconds).
-const PROCESSOR_SHARE: f64 = 0.02;
+/// Share of requests that takes a second attempt without harm.
+const RETRIED_SHARE: f64 = 0.05;
+/// Memory of a process at its start, and its growth within `GROWTH_SPAN_S` (KB).
+const MEMORY_AT_START_KB: u64 = 12_000;
+const MEMORY_GROWTH_KB: f64 = 4_000.0;
+/// Time after the start in which memory grows without a leak (seconds).
+const GROWTH_SPAN_S: f64 = 60.0;
+/// Processor time of a process per second (seconds).
+const PROCESSOR_S_PER_S: f64 = 0.02;
 
-/// What becomes of the requests of a class at a process, as shares.
+/// Outcomes of the requests of a class at a process, as shares.
 struct Shares {
-    /// Not served because of the harm.
+    /// Share not served because of the harm.
     harmed: f64,
-    /// Of the others, not served.
+    /// Share of the others that is not served.
     failed: f64,
-    /// Tried a second time.
-    repeated: f64,
-    /// Of the served ones, late.
+    /// Share that takes a second attempt.
+    retried: f64,
+    /// Share of the served ones that is late.
     slow: f64,
 }
 
 impl World {
-    /// Time passes: requests come, processes get ready and end.
-    pub fn pass(&mut self, heard: &mut Vec<(usize, ProcessObservation)>) {
-        self.now += STEP;
+    /// Advances the time by one step: processes become ready and exit, requests arrive.
+    pub fn advance(&mut self, observations: &mut Vec<(usize, ProcessObservation)>) {
+        self.now += STEP_S;
         let new_shares = self.new_shares();
         for front in 0..self.machines.len() {
-            self.start_and_end_processes(front, heard);
+            self.start_and_end_processes(front, observations);
             let new_share = new_shares[self.machines[front].location];
             let serving = self.serving(front);
             for class in 0..CLASSES.len() {
-                self.serve(front, class, &serving, new_share);
+                self.serve_class(front, class, &serving, new_share);
             }
             self.use_resources(front);
         }
     }
 
-    /// By location, the share of the fronts in which a new process serves.
-    fn new_shares(&self) -> [f64; LOCATIONS] {
+    /// Returns by location the share of the fronts at which a process of the new side serves.
+    fn new_shares(&self) -> [f64; LOCATION_COUNT] {
         std::array::from_fn(|location| {
             let here = self.machines.iter().filter(|machine| machine.location == location);
-            let is_new = |p: &Process| p.ready && p.told.is_none() && p.side == Release::New;
+            let is_new = |p: &Process| p.ready && p.term_at.is_none() && p.side == Release::New;
             let new = here.clone().filter(|machine| machine.processes.iter().any(is_new));
             new.count() as f64 / here.count().max(1) as f64
         })
     }
 
-    fn start_and_end_processes(&mut self, front: usize, heard: &mut Vec<(usize, ProcessObservation)>) {
+    fn start_and_end_processes(&mut self, front: usize, observations: &mut Vec<(usize, ProcessObservation)>) {
         let now = self.now;
         let processes = &mut self.machines[front].processes;
         for process in processes.iter_mut() {
             process.ready |= process.becomes_ready(now);
         }
-        let ended = processes.iter().filter(|process| now >= process.ends);
-        heard.extend(ended.map(|process| (front, ProcessObservation::Exited(process.run))));
-        processes.retain(|process| now < process.ends);
+        let ended = processes.iter().filter(|process| now >= process.exits_at);
+        observations.extend(ended.map(|process| (front, ProcessObservation::Exited(process.run))));
+        processes.retain(|process| now < process.exits_at);
     }
 
-    /// The places of a front's processes that take clients.
+    /// Returns the indices of a front's processes that accept clients.
     fn serving(&self, front: usize) -> Vec<usize> {
         let processes = &self.machines[front].processes;
-        (0..processes.len()).filter(|&place| processes[place].ready).collect()
+        (0..processes.len()).filter(|&index| processes[index].ready).collect()
     }
 
-    /// Requests of a class come to one of a front's processes that take clients.
-    fn serve(&mut self, front: usize, class: usize, serving: &[usize], new_share: f64) {
-        let mean = CLASSES[class].1 * self.machines[front].rate * STEP;
-        let asked = Poisson::new(mean).map_or(0.0, |p| p.sample(&mut self.random)) as u64;
-        self.asked += asked;
-        let Some(&place) = serving.get(self.random.random_range(0..serving.len().max(1))) else {
-            self.unreached += asked;
+    /// Draws a class's requests of this step and counts them at one of the front's serving processes.
+    fn serve_class(&mut self, front: usize, class: usize, serving: &[usize], new_share: f64) {
+        let mean = CLASSES[class].requests_per_s * self.machines[front].rate * STEP_S;
+        let requests = Poisson::new(mean).map_or(0.0, |p| p.sample(&mut self.random)) as u64;
+        self.requests += requests;
+        let Some(&index) = serving.get(self.random.random_range(0..serving.len().max(1))) else {
+            self.unreached += requests;
             return;
         };
-        let shares = self.shares(front, place, class, new_share);
-        let harmed = self.draw(shares.harmed, asked);
+        let shares = self.shares(front, index, class, new_share);
+        let harmed = self.draw_count(shares.harmed, requests);
         self.harmed += harmed;
-        let failed = harmed + self.draw(shares.failed, asked - harmed);
-        let repeated = self.draw(shares.repeated, asked);
-        let slow = self.draw(shares.slow, asked - failed);
+        let failed = harmed + self.draw_count(shares.failed, requests - harmed);
+        let retried = self.draw_count(shares.retried, requests);
+        let slow = self.draw_count(shares.slow, requests - failed);
         let busy = failed - failed / 2;
-        let counts = &mut self.machines[front].processes[place].reading.classes[class];
-        counts.served += asked - failed;
+        let counts = &mut self.machines[front].processes[index].reading.classes[class];
+        counts.served += requests - failed;
         counts.failed += failed / 2;
         counts.busy += busy;
         counts.slow += slow;
-        counts.calls += asked - busy + repeated;
+        counts.calls += requests - busy + retried;
     }
 
-    /// How many of so many it hits.
-    fn draw(&mut self, share: f64, of: u64) -> u64 {
-        Binomial::new(of, share.clamp(0.0, 1.0)).map_or(0, |b| b.sample(&mut self.random))
+    /// Draws how many of `total` requests are affected when each is with probability `share`.
+    fn draw_count(&mut self, share: f64, total: u64) -> u64 {
+        Binomial::new(total, share.clamp(0.0, 1.0)).map_or(0, |b| b.sample(&mut self.random))
     }
 
-    fn shares(&self, front: usize, place: usize, class: usize, new_share: f64) -> Shares {
+    fn shares(&self, front: usize, index: usize, class: usize, new_share: f64) -> Shares {
         let machine = &self.machines[front];
-        let process = &machine.processes[place];
-        let age = self.now - process.began;
-        let cold = COLD.1 * (1.0 - age / COLD.0).max(0.0);
-        let (more_attempts, times_as_long) = match self.harm {
-            Harm::Retries(more) if process.side == Release::New => (more, 1.0),
-            Harm::Slower(times) if process.side == Release::New => (0.0, times),
+        let process = &machine.processes[index];
+        let age = self.now - process.started_at;
+        let cold = COLD_FAILED_SHARE * (1.0 - age / COLD_SPAN_S).max(0.0);
+        let (additional_retries, time_factor) = match self.harm {
+            Harm::Retries(share) if process.side == Release::New => (share, 1.0),
+            Harm::Slower(factor) if process.side == Release::New => (0.0, factor),
             _ => (0.0, 1.0),
         };
         Shares {
             harmed: self.harmed_share(process, class, machine.location, new_share),
-            failed: CLASSES[class].2 * machine.worse + cold + self.troubled_share(machine.location),
-            repeated: REPEATED + cold + more_attempts,
-            slow: LATE.powf(1.0 / times_as_long),
+            failed: CLASSES[class].failed_share * machine.failure_factor
+                + cold
+                + self.background_failed_share(machine.location),
+            retried: RETRIED_SHARE + cold + additional_retries,
+            slow: LATE_SHARE.powf(1.0 / time_factor),
         }
     }
 
-    /// The share of requests that fails now, whatever the side.
-    fn troubled_share(&self, location: usize) -> f64 {
-        match self.trouble {
+    /// Returns the share of requests that currently fails at a location on both sides.
+    fn background_failed_share(&self, location: usize) -> f64 {
+        match self.background_failures {
             (share, None) => share,
-            (share, Some(there)) if there == location => share,
+            (share, Some(affected)) if affected == location => share,
             _ => 0.0,
         }
     }
@@ -130,7 +135,7 @@
         match self.harm {
             Harm::Unserved { share, class: only_class, location: only_location, after }
                 if process.side == Release::New
-                    && self.now - process.began >= after
+                    && self.now - process.started_at >= after
                     && only_class.is_none_or(|only| only == class)
                     && only_location.is_none_or(|only| only == location) =>
             {
@@ -143,22 +148,23 @@
 
     fn use_resources(&mut self, front: usize) {
         for process in &mut self.machines[front].processes {
-            let age = self.now - process.began;
+            let age = self.now - process.started_at;
             let leak = match self.harm {
                 Harm::Leak(kb, after) if process.side == Release::New => kb * (age - after).max(0.0),
                 _ => 0.0,
             };
-            let grown = leak + MEMORY_OF_AGE * (age / GROWTH_TIME).clamp(0.0, 1.0);
-            process.reading.memory_kb = MEMORY_AT_START + grown as u64;
-            process.reading.processor_s += STEP * PROCESSOR_SHARE;
+            let grown = leak + MEMORY_GROWTH_KB * (age / GROWTH_SPAN_S).clamp(0.0, 1.0);
+            process.reading.memory_kb = MEMORY_AT_START_KB + grown as u64;
+            process.reading.processor_s += STEP_S * PROCESSOR_S_PER_S;
         }
     }
 }
 
 impl Process {
-    /// Whether it is old enough to take clients; one that is silent and never took any does not.
+    /// Returns whether the process is old enough to accept clients; a silent one that has never served is not
+    /// ready.
     fn becomes_ready(&self, now: f64) -> bool {
-        let never_asked = self.reading.classes.iter().all(|counts| counts.requests() == 0);
-        now - self.began >= START && !(self.silent && never_asked)
+        let has_no_requests = self.reading.classes.iter().all(|counts| counts.requests() == 0);
+        now - self.started_at >= START_DELAY_S && !(self.silent && has_no_requests)
     }
 }
