--- a/crates/lab/src/connection.rs
+++ b/crates/lab/src/connection.rs
@@ -1,4 +1,4 @@
-//! A client's connection to a front, with the requests that are open on it.
+//! A client's connection to a front, with its open requests.
 
 use crate::paced::{Pace, PacedReader};
 use std::cell::{Cell, RefCell};
@@ -13,23 +13,24 @@
 use tokio::sync::Mutex;
 use tokio::task::spawn_local;
 
-/// A connection that is kept open; `T` is what its client notes of a request until that is answered.
+/// A persistent connection; `T` is the client's state of a request until that is answered.
 pub struct ClientConnection<T> {
     pub write: Mutex<OwnedWriteHalf>,
-    /// By tag.
+    /// Open requests by tag.
     pub open: RefCell<HashMap<u64, T>>,
-    next: Cell<u64>,
-    /// When it was made.
+    next_tag: Cell<u64>,
+    /// Time at which the connection was established.
     pub made: Instant,
-    /// The client's port, by which the front's log names it.
+    /// The client's port, which identifies the connection in the front's log.
     pub local_port: u16,
+    /// Whether the client has finished reading.
     pub ended: Cell<bool>,
-    /// When the front's end of it came, though what lies before that may still be unread.
-    end_came: Cell<Option<Instant>>,
+    /// Time at which the front's end of stream arrived; data before it may still be unread.
+    end_arrived_at: Cell<Option<Instant>>,
 }
 
 impl<T: 'static> ClientConnection<T> {
-    /// Connects; what comes is read from the second, at this pace.
+    /// Connects to a front; the returned reader reads at this pace.
     pub async fn connect(
         front: SocketAddr,
         pace: Option<Pace>,
@@ -42,43 +43,44 @@
         let _ = stream.set_nodelay(true);
         let local_port = stream.local_addr()?.port();
         let stream = stream.into_std()?;
-        let watched = pace.map(|_| stream.try_clone()).transpose()?;
+        let end_watcher = pace.map(|_| stream.try_clone()).transpose()?;
         let stream = TcpStream::from_std(stream)?;
         let (read, write) = stream.into_split();
         let connection = ClientConnection {
             write: Mutex::new(write),
             open: RefCell::default(),
-            next: Cell::new(1),
+            next_tag: Cell::new(1),
             made: Instant::now(),
             local_port,
             ended: Cell::new(false),
-            end_came: Cell::default(),
+            end_arrived_at: Cell::default(),
         };
         let connection = Rc::new(connection);
-        if let Some(watched) = watched {
-            spawn_local(note_end(TcpStream::from_std(watched)?, connection.clone()));
+        if let Some(end_watcher) = end_watcher {
+            spawn_local(record_end(TcpStream::from_std(end_watcher)?, connection.clone()));
         }
         Ok((connection, PacedReader::new(read, pace)))
     }
 
-    /// How long ago the front's end of it came; one that is read at once is read when it comes.
+    /// Returns the time since the front's end of stream arrived; zero if it wasn't recorded, as without a
+    /// pace, where the end is read on arrival.
     pub fn since_end(&self) -> Duration {
-        self.end_came.get().map_or(Duration::ZERO, |at| at.elapsed())
+        self.end_arrived_at.get().map_or(Duration::ZERO, |at| at.elapsed())
     }
 
-    /// A tag that no request of this connection has had.
+    /// Returns a tag that no request of this connection has had.
     pub fn fresh_tag(&self) -> u64 {
-        self.next.replace(self.next.get() + 1)
+        self.next_tag.replace(self.next_tag.get() + 1)
     }
 }
 
-/// Notes when the front's end of a connection comes, whatever lies unread before it.
-async fn note_end<T>(stream: TcpStream, connection: Rc<ClientConnection<T>>) {
+/// Records the time at which the front's end of stream arrives, even while data before it is unread.
+async fn record_end<T>(stream: TcpStream, connection: Rc<ClientConnection<T>>) {
     while let Ok(ready) = stream.ready(Interest::READABLE).await {
         if ready.is_read_closed() {
-            return connection.end_came.set(Some(Instant::now()));
+            return connection.end_arrived_at.set(Some(Instant::now()));
         }
-        // Nothing is read here: the next thing that comes is waited for.
+        // Clears the readiness without reading, so that the next `ready` waits for a new event.
         let _ = stream.try_io(Interest::READABLE, || Err::<(), _>(io::ErrorKind::WouldBlock.into()));
     }
 }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,4 +1,5 @@
-//! `onyxyoke-lab`: brings a real front up between stand-ins on loopback, loads it, and judges what it did.
+//! `onyxyoke-lab`: experiments on fronts. Runs real fronts between stand-ins on loopback under load, or the
+//! shipped decision code over models in virtual time, and evaluates the results.
 #![forbid(unsafe_code)]
 
 mod compare;
@@ -12,10 +13,10 @@
 use clap::{Parser, Subcommand};
 use std::process::ExitCode;
 
-/// The operator's example holds the settings, which have the platform's form.
+/// The operator's example configuration, whose settings have the platform's form.
 const OPERATOR: &str = include_str!("../../../deploy/operator.toml");
 
-/// Load and experiments on fronts of onyxyoke.
+/// Load tests and experiments on onyxyoke fronts.
 #[derive(Parser)]
 #[command(version, about)]
 struct Arguments {
@@ -25,31 +26,32 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Replays the incident record in compressed form, again and again, and judges the front's memory
+    /// Replays the incident record in compressed form repeatedly, and checks the front's memory
     ///
-    /// Exit codes: 0 all held, 1 something did not, 2 it could not be run.
+    /// Exit codes: 0 all checks passed, 1 a check failed, 2 the run could not be carried out.
     Soak(soak::Options),
-    /// Starts a fleet of front processes between nodes with shared links, with faults between them
+    /// Runs a fleet of front processes between nodes with shared links, and injects faults between them
     ///
-    /// Exit codes: 0 all held, 1 something did not, 2 it could not be run.
+    /// Exit codes: 0 all checks passed, 1 a check failed, 2 the run could not be carried out.
     Fleet(fleet::Options),
-    /// Plays directors of one location in virtual time and prints how evenly their load comes out
+    /// Emulates the directors of one location in virtual time, and prints how evenly they spread their load
     Even(emulate::Options),
-    /// Compares the processor time that an ordinary request takes of two builds of the front
+    /// Compares the processor time per request of two builds of the front
     Compare(compare::Options),
-    /// Plays rollouts of harmful and harmless changes over modelled fronts, and prints what is stopped when
+    /// Plays rollouts of harmful and harmless changes over modelled fronts, and prints which are stopped and
+    /// when
     Rollouts(rollouts::Options),
 }
 
 fn main() -> ExitCode {
-    let done = match Arguments::parse().command {
+    let passed = match Arguments::parse().command {
         Command::Soak(options) => soak::run(&options),
         Command::Fleet(options) => fleet::run(&options),
         Command::Even(options) => emulate::run(&options),
         Command::Compare(options) => compare::run(&options),
         Command::Rollouts(options) => rollouts::run(&options),
     };
-    match done {
+    match passed {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(e) => {
--- a/crates/lab/src/paced.rs
+++ b/crates/lab/src/paced.rs
@@ -1,4 +1,4 @@
-//! A client's reading at a pace: what has come lies in its system for a while before its program reads some of it.
+//! Paced reading of a client: received data stays in the socket buffer for a while before some of it is read.
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
@@ -10,35 +10,36 @@
 use tokio::net::tcp::OwnedReadHalf;
 use tokio::time::{Sleep, sleep};
 
-/// How clients read.
+/// The pace at which clients read.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Pace {
-    /// What has come is left for so long (seconds).
+    /// Pause during which received data stays unread (seconds).
     pub pause_s: f64,
-    /// Then so much is read as it comes, up to the next pause (bytes).
+    /// Amount that is read as it arrives between two pauses (bytes).
     pub chunk: usize,
-    /// The system keeps about so much that is unread (bytes); else as much as it will.
+    /// Approximate amount of unread data that the system buffers (bytes); without it, the system's default.
     #[serde(default)]
     pub receive_buffer: Option<usize>,
 }
 
-/// Reads a connection at a pace, or as it comes. An end that nothing unread lies before is seen at once.
+/// Reads a connection at a pace, or without delay. An end of stream without unread data before it is seen at
+/// once.
 pub struct PacedReader {
     inner: OwnedReadHalf,
     pace: Option<Pace>,
     pause: Option<Pin<Box<Sleep>>>,
-    /// What may be read up to the next pause (bytes).
-    allowed: usize,
+    /// Bytes that may be read before the next pause.
+    allowance: usize,
 }
 
 impl PacedReader {
-    /// Reads at this pace.
+    /// Creates a reader with this pace.
     pub fn new(inner: OwnedReadHalf, pace: Option<Pace>) -> Self {
-        PacedReader { inner, pace, pause: None, allowed: 0 }
+        PacedReader { inner, pace, pause: None, allowance: 0 }
     }
 
-    /// Waits until something has come and the pause is over; `false` at the end of the stream.
+    /// Waits for data and then for the end of the pause; returns `false` at the end of the stream.
     fn poll_pause(&mut self, pace: Pace, context: &mut Context<'_>) -> Poll<io::Result<bool>> {
         if self.pause.is_none() {
             let mut byte = [0];
@@ -52,7 +53,7 @@
             ready!(pause.as_mut().poll(context));
         }
         self.pause = None;
-        self.allowed = pace.chunk;
+        self.allowance = pace.chunk;
         Poll::Ready(Ok(true))
     }
 }
@@ -64,13 +65,13 @@
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         let Some(pace) = self.pace else { return Pin::new(&mut self.inner).poll_read(context, buffer) };
-        if self.allowed == 0 && !ready!(self.poll_pause(pace, context))? {
+        if self.allowance == 0 && !ready!(self.poll_pause(pace, context))? {
             return Poll::Ready(Ok(()));
         }
-        let mut bytes = vec![0; self.allowed.min(buffer.remaining())];
+        let mut bytes = vec![0; self.allowance.min(buffer.remaining())];
         let mut chunk = ReadBuf::new(&mut bytes);
         ready!(Pin::new(&mut self.inner).poll_read(context, &mut chunk))?;
-        self.allowed -= chunk.filled().len();
+        self.allowance -= chunk.filled().len();
         buffer.put_slice(chunk.filled());
         Poll::Ready(Ok(()))
     }
