--- a/crates/lab/src/fleet/record.rs
+++ b/crates/lab/src/fleet/record.rs
@@ -1,4 +1,5 @@
-//! What nodes and clients saw, as it came: the verdict is drawn from this and from nothing that fronts say.
+//! Observations of nodes and clients in order of arrival. The verdict rests on these alone, and on nothing
+//! that fronts report.
 
 use super::plan::SignalSeries;
 use hdrhistogram::Histogram;
@@ -7,10 +8,10 @@
 use std::path::Path;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// An attempt at a node; Unix seconds.
+/// An attempt at a node, with its end in Unix seconds.
 #[derive(Debug, Clone, Copy)]
 pub struct Attempt {
-    pub came: ObservedAttempt,
+    pub arrival: ObservedAttempt,
     pub ended: Option<f64>,
 }
 
@@ -20,58 +21,64 @@
     Served,
     Refused,
     Failed,
-    /// Its connection ended with no answer, or none came.
+    /// Its connection ended without an answer, or no answer came.
     Lost,
-    /// No front was there to take it.
+    /// No front accepted its connection.
     Unreached,
 }
 
-/// The connection that a request was last sent on, in Unix seconds.
+/// The connection that a request was last sent on, with times in Unix seconds.
 #[derive(Debug, Clone, Copy)]
 pub struct SentOn {
-    /// The front that it leads to.
+    /// The front at the other end.
     pub front: usize,
-    /// Its client's port, by which it is found in the front's log.
+    /// The client's port, which identifies the connection in the front's log.
     pub port: u16,
-    /// When it was made.
+    /// When it was established.
     pub made: f64,
-    /// When its end came to its client's system, if that was noticed.
+    /// When the client's system saw it end, if it did.
     pub closed: Option<f64>,
 }
 
-/// A client's request.
+/// A client's request, with times in Unix seconds.
 #[derive(Debug, Clone, Copy)]
 pub struct Asked {
     pub at: f64,
-    /// Its client's own front, which it is meant for.
+    /// The front of its client, which it is meant for.
     pub front: usize,
-    /// `None` until it was sent.
+    /// `None` until it is sent.
     pub sent_on: Option<SentOn>,
-    /// What its class allows, and how long its client waits (seconds).
+    /// The time within which its class wants an answer (seconds).
     pub aim: f64,
+    /// How long its client waits (seconds).
     pub deadline: f64,
     pub object: u64,
     pub end: Option<(f64, End)>,
-    /// When the copy that served it was made; answers beyond the first; bytes that were another's.
+    /// When the copy that served it was made.
     pub made: Option<f64>,
+    /// The number of answers beyond the first.
     pub again: u32,
+    /// Whether the answer had bytes of another object.
     pub spoilt: bool,
-    /// Its front was killed, stopped or replaced while it was open.
+    /// Whether its front was killed, stopped or replaced while it was open, so that it may be lost.
     pub excused: bool,
-    /// Its client reads at a pace of its own, so that when it had its answer says nothing of its front.
+    /// Whether its client reads at its own pace, so that the time of its answer says nothing about the front.
     pub paced: bool,
 }
 
-/// A front was told something of a node, or all fronts were by their operators, in Unix seconds.
+/// A front was notified of a node's state, or operators set it at all fronts; the time is in Unix seconds.
 #[derive(Debug, Clone, Copy)]
 pub struct NotificationRecord {
     pub at: f64,
     pub node: usize,
+    /// 0 is ready, 1 draining, 2 gone.
     pub state: u8,
+    /// `None` for all fronts.
     pub front: Option<usize>,
 }
 
-/// A front's process was sent a series of signals, in Unix seconds; until the last process that was told to end is gone.
+/// A series of signals to a front's process, in Unix seconds. It lasts until the last process that got
+/// SIGTERM has ended.
 #[derive(Debug, Clone)]
 pub struct Cycle {
     pub front: usize,
@@ -80,7 +87,7 @@
     pub series: SignalSeries,
 }
 
-/// A node as the verdict knows it.
+/// What the verdict needs to know about a node.
 #[derive(Debug, Clone, Copy)]
 pub struct NodeInfo {
     pub location: usize,
@@ -88,50 +95,50 @@
     pub cache: bool,
 }
 
-/// Everything that was seen.
+/// All observations of a run; times are Unix seconds.
 #[derive(Debug)]
-pub struct Seen {
+pub struct Observations {
     pub nodes: Vec<NodeInfo>,
     pub attempts: Vec<Attempt>,
     pub asked: Vec<Asked>,
     pub told: Vec<NotificationRecord>,
-    /// When everything was purged, and when fronts were told.
+    /// When all objects were purged.
     pub purged: Vec<f64>,
-    /// When a node was up again, or slow no more; and from when on it was not.
+    /// Nodes with faults: the node, and the start and end of its fault.
     pub troubled: Vec<(usize, f64, f64)>,
-    /// Operators' calls that were not answered with a yes within a second.
+    /// Number of operators' calls that were not confirmed within a second.
     pub unheard: usize,
-    /// Connections that were refused where the platform counts on a process.
+    /// Connections refused while the platform expects a process to accept them: the time and the front.
     pub refused: Vec<(f64, usize)>,
-    /// Series of signals, and processes that did not end as they should: when, which front, and how.
     pub cycles: Vec<Cycle>,
+    /// Processes that did not start or end as they should: the time, the front and what was wrong.
     pub ends: Vec<(f64, usize, String)>,
-    /// Fronts that were started again: how long after that they took clients (seconds).
+    /// For each restart of a front, the time until it accepted clients (seconds).
     pub ready: Vec<f64>,
-    /// Nodes that restarted cold: when.
+    /// Cold starts of nodes: the node and the time.
     pub cold: Vec<(usize, f64)>,
-    /// Times at which something changed at once for many fronts.
+    /// Times at which something changed for many fronts at once.
     pub events: Vec<f64>,
-    /// Work by node and window, per unit of link.
+    /// Work by node and window of `WINDOW` seconds, per unit of link.
     pub done: Vec<Vec<f64>>,
     /// When the first window began.
     pub began: f64,
-    /// How late the stand-ins themselves were (microseconds).
+    /// Lateness of the stand-ins themselves (microseconds).
     pub late: Histogram<u64>,
 }
 
-/// The length of a window of work (seconds).
+/// The length of the windows in which work is added up (seconds).
 pub const WINDOW: f64 = 0.5;
 
-/// A record that many tasks write to.
+/// Observations that many tasks write to.
 #[derive(Debug)]
-pub struct EventLog(Mutex<Seen>);
+pub struct EventLog(Mutex<Observations>);
 
-impl Seen {
-    /// Nothing was seen yet.
-    pub fn new(nodes: Vec<NodeInfo>) -> Seen {
+impl Observations {
+    /// Empty observations of these nodes.
+    pub fn new(nodes: Vec<NodeInfo>) -> Observations {
         let done = vec![Vec::new(); nodes.len()];
-        Seen {
+        Observations {
             nodes,
             attempts: Vec::new(),
             asked: Vec::new(),
@@ -154,18 +161,18 @@
 
 impl EventLog {
     pub fn new(nodes: Vec<NodeInfo>) -> EventLog {
-        EventLog(Mutex::new(Seen::new(nodes)))
+        EventLog(Mutex::new(Observations::new(nodes)))
     }
 
-    pub fn open(&self) -> MutexGuard<'_, Seen> {
+    pub fn open(&self) -> MutexGuard<'_, Observations> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 impl Record for EventLog {
-    fn came(&self, came: ObservedAttempt) -> usize {
+    fn came(&self, arrival: ObservedAttempt) -> usize {
         let attempts = &mut self.open().attempts;
-        attempts.push(Attempt { came, ended: None });
+        attempts.push(Attempt { arrival, ended: None });
         attempts.len() - 1
     }
 
@@ -180,9 +187,10 @@
     }
 }
 
-/// Writes every request as a line: when it was asked, of which front, what for, how it ended and how long that took; then the
-/// front, the client's port, the making and the end of the connection that it was last sent on.
-pub fn write_requests(path: &Path, seen: &Seen) -> io::Result<()> {
+/// Writes each request as a line of CSV: its time, front, object, deadline, end and duration, and whether it
+/// is excused; then the front, the client's port, the start and the end of the connection that it was last
+/// sent on.
+pub fn write_requests(path: &Path, seen: &Observations) -> io::Result<()> {
     let mut out = io::BufWriter::new(std::fs::File::create(path)?);
     let columns = "at_s,front,object,deadline_s,end,took_s,excused,sent_to,port,connected_s,closed_s";
     writeln!(out, "{columns}")?;
--- a/crates/lab/src/fleet/verdict.rs
+++ b/crates/lab/src/fleet/verdict.rs
@@ -1,59 +1,71 @@
-//! What a record comes to: how even, how idle, how many at once, what was served, and the rules. A pure function.
+//! Judges a run from its observations: load balance, idle nodes, herds, served requests and the rules. It has
+//! no side effects.
 
 mod rules;
 
 use super::plan::{Bounds, SignalSeries};
-use super::record::{Asked, Attempt, End, Seen, WINDOW};
+use super::record::{Asked, Attempt, End, Observations, WINDOW};
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::fmt;
 
-/// What the judge is told beside the record.
+/// What `judge` needs beside the observations.
 #[derive(Debug, Clone)]
 pub struct VerdictCriteria {
     /// The judged span, in Unix seconds.
     pub from: f64,
     pub until: f64,
-    /// A cold node is sent at most so many times its present capacity over so long; it starts with this share and has
-    /// all after this.
     pub cold: Cold,
-    /// Purges are heeded, and drains, so long after they were told (seconds).
+    /// Fronts follow a purge or a drain at most this long after its notification (seconds).
     pub purge_slack: f64,
     pub drain_grace: f64,
+    /// Answers may be this much later than the deadline (seconds).
     pub answer_slack: f64,
-    /// Fronts by location.
+    /// Number of fronts in each location.
     pub fronts: Vec<usize>,
     pub bounds: Bounds,
 }
 
-/// The rule on cold nodes.
+/// The rule on cold nodes: within each window a cold node receives at most a multiple of its present
+/// capacity.
 #[derive(Debug, Clone, Copy)]
 pub struct Cold {
+    /// The share of its capacity that a node has when it starts.
     pub from: f64,
+    /// The time after which it has its full capacity (seconds).
     pub time: f64,
     pub multiple: f64,
+    /// Seconds.
     pub window: f64,
 }
 
-/// Time limits are longer by this on real sockets (seconds).
-const SOCKETS: f64 = 0.05;
-/// Beyond the N calls that a cold node bears, so many times the root of N and so many more are put down to chance.
-const CHANCE: (f64, f64) = (2.0, 2.0);
-/// Of the fronts that are started again, nine in ten are ready within the first, and all within the second (seconds).
-pub const READY: (f64, f64) = (10.0, 30.0);
-/// What was asked so long before a series of signals, and so long after its end, is counted with it: the longest deadline, and
-/// what comes up after a start (seconds).
-const BEFORE_CYCLE: f64 = 5.0;
-const AFTER_CYCLE: f64 = 0.5;
-/// Herds are counted this long after an event (seconds).
-const HERD: f64 = 0.1;
-/// A node that is well again has its part after this (seconds).
-const BACK: f64 = 8.0;
-/// No verdict is given where the stand-ins were later than this at one in a hundred (microseconds).
-pub const RIG_LATE: u64 = 50_000;
+/// Tolerance that real sockets add to every time limit (seconds).
+const SOCKET_SLACK_S: f64 = 0.05;
+/// A cold node that can take N calls may get this multiple of the square root of N more by chance, and
+/// `CHANCE_EXTRA_CALLS`.
+const CHANCE_ROOT_MULTIPLE: f64 = 2.0;
+const CHANCE_EXTRA_CALLS: f64 = 2.0;
+/// Nine in ten of the restarted fronts are ready within this time (seconds).
+const READY_P90_S: f64 = 10.0;
+/// Every restarted front is ready within this time (seconds).
+pub const READY_MAX_S: f64 = 30.0;
+/// `READY_P90_S` and `READY_MAX_S`.
+pub const READY: (f64, f64) = (READY_P90_S, READY_MAX_S);
+/// Requests sent at most this long before a series of signals count towards it: the longest deadline
+/// (seconds).
+const CYCLE_LEAD_S: f64 = 5.0;
+/// Requests sent at most this long after a series of signals count towards it: faults that follow a start
+/// (seconds).
+const CYCLE_TAIL_S: f64 = 0.5;
+/// The interval over which the fronts at one node are counted as a herd (seconds).
+const HERD_WINDOW_S: f64 = 0.1;
+/// A recovered node has its share of the load again after this time (seconds).
+const RECOVERY_S: f64 = 8.0;
+/// There is no verdict where the 99th percentile of the stand-ins' lateness is over this (microseconds).
+pub const MAX_RIG_LATENESS_US: u64 = 50_000;
 
-/// The figures.
+/// Measurements of a run.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct Figures {
     pub asked: usize,
@@ -62,44 +74,49 @@
     pub refused: f64,
     pub failed: f64,
     pub unreached: f64,
-    /// Within this 99 of 100 served ones were answered (seconds).
+    /// 99th percentile of the time to a served answer (seconds).
     pub p99_s: f64,
+    /// Work of the most and of the least loaded node, relative to the mean of its location.
     pub most: f64,
     pub least: f64,
+    /// The longest time that a healthy node had nothing to do (seconds).
     pub idle_s: f64,
-    /// Most fronts at one node within 0.1 s of an event, what chance gives, and the first by the second.
+    /// The most fronts at one node within 0.1 s of an event, the same at calm times, and their ratio.
     pub herd: usize,
     pub herd_by_chance: f64,
     pub herd_times: f64,
+    /// Shares of the work that came from copies and from the origin.
     pub hits: f64,
     pub origin: f64,
-    /// Attempts for each request.
+    /// Attempts per request.
     pub attempts: f64,
-    /// Part by the mean of nodes that are well again: after 8 s, and at its most within them.
+    /// Load of recovered nodes relative to the mean: the least after 8 s, and the most within them.
     pub back_least: Option<f64>,
     pub back_most: Option<f64>,
-    /// What cold nodes got at most in the time in which they fall, beyond the N calls of mean work that they bear, in
-    /// times the root of N.
+    /// The largest excess of a cold node over the N calls of mean work that it can take in a window, in
+    /// multiples of the square root of N.
     pub cold_excess: Option<f64>,
-    /// Nine in ten of the fronts that were started again took clients within this (seconds).
+    /// The time within which nine in ten of the restarted fronts accepted clients (seconds).
     pub ready_s: Option<f64>,
+    /// 99th percentile of the stand-ins' lateness.
     pub rig_late_ms: f64,
 }
 
-/// Rules and bounds that did not hold, and the figures.
+/// The figures of a run, and the rules and bounds that it broke.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct Verdict {
     pub figures: Figures,
-    /// Broken rules, by name, with how often and an example.
+    /// Broken rules by name, each with its number of violations and the first as an example.
     pub rules: BTreeMap<String, (usize, String)>,
-    /// What fronts' processes were sent, with what became of requests meanwhile.
+    /// What became of requests during each series of signals.
     pub cycles: BTreeMap<SignalSeries, CycleFigures>,
+    /// Bounds of the plan that were missed.
     pub bounds: Vec<String>,
-    /// The stand-ins ran late: nothing above says anything of the fronts.
+    /// There is no verdict: the stand-ins ran late, so the figures don't describe the fronts.
     pub none: bool,
 }
 
-/// What became of a front's requests while its process was sent signals, and shortly after.
+/// What became of a front's requests during a series of signals, and shortly before and after.
 #[derive(Debug, Clone, Copy, Default, Serialize)]
 pub struct CycleFigures {
     pub times: usize,
@@ -112,7 +129,7 @@
 }
 
 impl CycleFigures {
-    /// The sum of two.
+    /// The sums of both figures, field by field.
     pub fn and(self, more: CycleFigures) -> CycleFigures {
         CycleFigures {
             times: self.times + more.times,
@@ -127,95 +144,103 @@
 }
 
 impl Verdict {
+    /// Returns whether there is a verdict, and no rule or bound was broken.
     pub fn held(&self) -> bool {
         !self.none && self.rules.is_empty() && self.bounds.is_empty()
     }
 
-    fn broken(&mut self, rule: &str, example: String) {
+    fn add_violation(&mut self, rule: &str, example: String) {
         self.rules.entry(rule.to_owned()).or_insert((0, example)).0 += 1;
     }
 }
 
-/// Judges a record.
-pub fn judge(seen: &Seen, terms: &VerdictCriteria) -> Verdict {
-    let mut verdict = Verdict { figures: clients(seen, terms), ..Verdict::default() };
+/// Judges a run.
+pub fn judge(seen: &Observations, criteria: &VerdictCriteria) -> Verdict {
+    let mut verdict = Verdict { figures: client_figures(seen, criteria), ..Verdict::default() };
     let f = &mut verdict.figures;
-    evenness(seen, terms, f);
-    f.idle_s = idle(seen, terms);
-    herd(seen, terms, f);
-    back(seen, terms, f);
+    measure_evenness(seen, criteria, f);
+    f.idle_s = longest_idle_s(seen, criteria);
+    measure_herds(seen, criteria, f);
+    measure_recovery(seen, criteria, f);
     f.rig_late_ms = seen.late.value_at_quantile(0.99) as f64 / 1000.0;
-    verdict.none = seen.late.value_at_quantile(0.99) > RIG_LATE;
-    rules::check(seen, terms, &mut verdict);
-    cycles(seen, terms, &mut verdict);
-    let bounds = &terms.bounds;
+    verdict.none = seen.late.value_at_quantile(0.99) > MAX_RIG_LATENESS_US;
+    rules::check(seen, criteria, &mut verdict);
+    count_cycles(seen, criteria, &mut verdict);
+    let bounds = &criteria.bounds;
     let f = verdict.figures.clone();
-    let mut bound = |name: &str, value: f64, bound: Option<f64>, least: bool| {
-        if let Some(b) = bound.filter(|b| if least { value < *b } else { value > *b }) {
-            verdict
-                .bounds
-                .push(format!("{name} is {value:.3}, {} {b}", if least { "under" } else { "over" }));
+    let mut check_bound = |name: &str, value: f64, bound: Option<f64>, is_minimum: bool| {
+        if let Some(missed) = bound.filter(|b| if is_minimum { value < *b } else { value > *b }) {
+            let side = if is_minimum { "under" } else { "over" };
+            verdict.bounds.push(format!("{name} is {value:.3}, {side} {missed}"));
         }
     };
-    bound("served", f.served, bounds.served, true);
-    bound("in_time", f.in_time, bounds.in_time, true);
-    bound("most", f.most, bounds.most, false);
-    bound("least", f.least, bounds.least, true);
-    bound("idle_s", f.idle_s, bounds.idle_s, false);
-    bound("herd", f.herd_times, bounds.herd, false);
-    bound("back_least", f.back_least.unwrap_or(1.0), bounds.back_least, true);
-    bound("back_most", f.back_most.unwrap_or(1.0), bounds.back_most, false);
-    bound("hits", f.hits, bounds.hits, true);
+    check_bound("served", f.served, bounds.served, true);
+    check_bound("in_time", f.in_time, bounds.in_time, true);
+    check_bound("most", f.most, bounds.most, false);
+    check_bound("least", f.least, bounds.least, true);
+    check_bound("idle_s", f.idle_s, bounds.idle_s, false);
+    check_bound("herd", f.herd_times, bounds.herd, false);
+    check_bound("back_least", f.back_least.unwrap_or(1.0), bounds.back_least, true);
+    check_bound("back_most", f.back_most.unwrap_or(1.0), bounds.back_most, false);
+    check_bound("hits", f.hits, bounds.hits, true);
     verdict
 }
 
-fn clients(seen: &Seen, terms: &VerdictCriteria) -> Figures {
-    let judged = || seen.asked.iter().filter(|a| (terms.from..terms.until).contains(&a.at));
-    let all = judged().count().max(1) as f64;
-    let share = |end: End| judged().filter(|a| a.end.is_some_and(|e| e.1 == end)).count() as f64 / all;
+/// The figures of clients' requests and of the nodes' work.
+fn client_figures(seen: &Observations, criteria: &VerdictCriteria) -> Figures {
+    let judged = || seen.asked.iter().filter(|a| (criteria.from..criteria.until).contains(&a.at));
+    let total_requests = judged().count().max(1) as f64;
+    let share =
+        |end: End| judged().filter(|a| a.end.is_some_and(|e| e.1 == end)).count() as f64 / total_requests;
     let in_time = judged()
-        .filter(|a| a.end.is_some_and(|(at, end)| end == End::Served && at <= a.at + a.aim + SOCKETS))
+        .filter(|a| a.end.is_some_and(|(at, end)| end == End::Served && at <= a.at + a.aim + SOCKET_SLACK_S))
         .count();
-    let mut took = Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).expect("bounds that fit");
-    for (asked, (at, _)) in judged().filter_map(|a| Some((a.at, a.end.filter(|e| e.1 == End::Served)?))) {
-        took.saturating_record(((at - asked).max(0.0) * 1e6) as u64);
+    let mut latencies = Histogram::<u64>::new_with_bounds(1, 60_000_000, 3).expect("bounds that fit");
+    for (sent, (at, _)) in judged().filter_map(|a| Some((a.at, a.end.filter(|e| e.1 == End::Served)?))) {
+        latencies.saturating_record(((at - sent).max(0.0) * 1e6) as u64);
     }
-    let attempts = || seen.attempts.iter().filter(|a| (terms.from..terms.until).contains(&a.came.at));
-    let work = |of: &dyn Fn(&Attempt) -> bool| attempts().filter(|a| of(a)).map(|a| a.came.work).sum::<f64>();
-    let total = work(&|_| true).max(1e-9);
+    let attempts =
+        || seen.attempts.iter().filter(|a| (criteria.from..criteria.until).contains(&a.arrival.at));
+    let work_where = |is_counted: &dyn Fn(&Attempt) -> bool| {
+        attempts().filter(|a| is_counted(a)).map(|a| a.arrival.work).sum::<f64>()
+    };
+    let total_work = work_where(&|_| true).max(1e-9);
     Figures {
-        asked: all as usize,
+        asked: total_requests as usize,
         served: share(End::Served),
-        in_time: in_time as f64 / all,
+        in_time: in_time as f64 / total_requests,
         refused: share(End::Refused),
         failed: share(End::Failed) + share(End::Lost),
         unreached: share(End::Unreached),
-        p99_s: took.value_at_quantile(0.99) as f64 / 1e6,
-        hits: 1.0 - work(&|a| a.came.filled) / total,
-        origin: work(&|a| a.came.origin) / total,
-        attempts: attempts().count() as f64 / all,
+        p99_s: latencies.value_at_quantile(0.99) as f64 / 1e6,
+        hits: 1.0 - work_where(&|a| a.arrival.filled) / total_work,
+        origin: work_where(&|a| a.arrival.origin) / total_work,
+        attempts: attempts().count() as f64 / total_requests,
         ..Figures::default()
     }
 }
 
-/// Nodes of one location that were up and well all the time, by place.
-fn whole(seen: &Seen, terms: &VerdictCriteria, location: usize) -> Vec<usize> {
-    let troubled = |n: usize| seen.troubled.iter().any(|t| t.0 == n && t.1 < terms.until && t.2 > terms.from);
+/// The cache nodes of a location that were healthy throughout the judged span.
+fn healthy_caches(seen: &Observations, criteria: &VerdictCriteria, location: usize) -> Vec<usize> {
+    let troubled =
+        |n: usize| seen.troubled.iter().any(|t| t.0 == n && t.1 < criteria.until && t.2 > criteria.from);
     let here = |n: &usize| seen.nodes[*n].cache && seen.nodes[*n].location == location && !troubled(*n);
     (0..seen.nodes.len()).filter(here).collect()
 }
 
-/// Work of a node from and until, per unit of link.
-fn work(seen: &Seen, node: usize, from: f64, until: f64) -> f64 {
-    let at = |t: f64| (((t - seen.began) / WINDOW).max(0.0) as usize).min(seen.done[node].len());
-    seen.done[node][at(from)..at(until)].iter().sum()
+/// Work of a node in a span of time, per unit of link.
+fn node_work(seen: &Observations, node: usize, from: f64, until: f64) -> f64 {
+    let window_at = |time: f64| (((time - seen.began) / WINDOW).max(0.0) as usize).min(seen.done[node].len());
+    seen.done[node][window_at(from)..window_at(until)].iter().sum()
 }
 
-fn evenness(seen: &Seen, terms: &VerdictCriteria, f: &mut Figures) {
+/// Compares the work of the healthy nodes of each location.
+fn measure_evenness(seen: &Observations, criteria: &VerdictCriteria, f: &mut Figures) {
     (f.most, f.least) = (0.0, f64::MAX);
-    for location in 0..terms.fronts.len() {
-        let nodes = whole(seen, terms, location);
-        let works: Vec<f64> = nodes.iter().map(|&n| work(seen, n, terms.from, terms.until)).collect();
+    for location in 0..criteria.fronts.len() {
+        let nodes = healthy_caches(seen, criteria, location);
+        let works: Vec<f64> =
+            nodes.iter().map(|&n| node_work(seen, n, criteria.from, criteria.until)).collect();
         let mean = works.iter().sum::<f64>() / works.len().max(1) as f64;
         if mean > 0.0 {
             f.most = works.iter().map(|w| w / mean).fold(f.most, f64::max);
@@ -224,103 +249,115 @@
     }
 }
 
-/// The longest time in which a node that was well had nothing to do, while its location was asked once a node at least.
-fn idle(seen: &Seen, terms: &VerdictCriteria) -> f64 {
+/// The longest time that a healthy node had nothing to do while its location got at least as many attempts as
+/// it has nodes.
+fn longest_idle_s(seen: &Observations, criteria: &VerdictCriteria) -> f64 {
     let mut longest = 0.0f64;
-    for location in 0..terms.fronts.len() {
-        let nodes = whole(seen, terms, location);
-        let came: Vec<(f64, usize, f64)> = seen
+    for location in 0..criteria.fronts.len() {
+        let nodes = healthy_caches(seen, criteria, location);
+        let arrivals: Vec<(f64, usize, f64)> = seen
             .attempts
             .iter()
-            .filter(|a| (terms.from..terms.until).contains(&a.came.at) && nodes.contains(&a.came.node))
-            .map(|a| (a.came.at, a.came.node, a.ended.unwrap_or(terms.until)))
+            .filter(|a| {
+                (criteria.from..criteria.until).contains(&a.arrival.at) && nodes.contains(&a.arrival.node)
+            })
+            .map(|a| (a.arrival.at, a.arrival.node, a.ended.unwrap_or(criteria.until)))
             .collect();
         for &node in &nodes {
-            let mut free = terms.from;
-            let of = came.iter().filter(|c| c.1 == node).map(|c| (c.0, c.2));
-            for (at, ended) in of.chain([(terms.until, terms.until)]) {
-                let others = came.iter().filter(|c| c.0 > free && c.0 < at).count();
-                if at - free > longest && others >= nodes.len() {
-                    longest = at - free;
+            let mut free_since = criteria.from;
+            let own = arrivals.iter().filter(|c| c.1 == node).map(|c| (c.0, c.2));
+            for (at, ended) in own.chain([(criteria.until, criteria.until)]) {
+                let others = arrivals.iter().filter(|c| c.0 > free_since && c.0 < at).count();
+                if at - free_since > longest && others >= nodes.len() {
+                    longest = at - free_since;
                 }
-                free = free.max(ended);
+                free_since = free_since.max(ended);
             }
         }
     }
     longest
 }
 
-/// Different fronts that turn to one node within `HERD` of a time.
-fn turned(seen: &Seen, at: f64) -> usize {
+/// The most fronts that call the same cache node within `HERD_WINDOW_S` after a time.
+fn most_fronts_at_a_node(seen: &Observations, at: f64) -> usize {
     let mut fronts: HashMap<usize, BTreeSet<usize>> = HashMap::new();
-    for a in seen.attempts.iter().filter(|a| (at..at + HERD).contains(&a.came.at)) {
-        if seen.nodes[a.came.node].cache {
-            fronts.entry(a.came.node).or_default().insert(a.came.front);
+    for a in seen.attempts.iter().filter(|a| (at..at + HERD_WINDOW_S).contains(&a.arrival.at)) {
+        if seen.nodes[a.arrival.node].cache {
+            fronts.entry(a.arrival.node).or_default().insert(a.arrival.front);
         }
     }
     fronts.values().map(BTreeSet::len).max().unwrap_or(0)
 }
 
-/// The largest herd in the seconds after events, beside the largest of as many calm moments.
-fn herd(seen: &Seen, terms: &VerdictCriteria, f: &mut Figures) {
-    let spans = |at: f64| (0..20).map(move |i| at + f64::from(i) * HERD);
-    let inside = |at: &f64| (terms.from..terms.until).contains(at);
-    for &event in seen.events.iter().filter(|e| inside(e)) {
-        f.herd = spans(event).filter(inside).map(|at| turned(seen, at)).fold(f.herd, usize::max);
+/// The largest herd within 2 s after events, compared with the median of the largest herds of calm spans as
+/// long.
+fn measure_herds(seen: &Observations, criteria: &VerdictCriteria, f: &mut Figures) {
+    let windows_from = |at: f64| (0..20).map(move |i| at + f64::from(i) * HERD_WINDOW_S);
+    let is_judged = |at: &f64| (criteria.from..criteria.until).contains(at);
+    for &event in seen.events.iter().filter(|e| is_judged(e)) {
+        f.herd = windows_from(event)
+            .filter(is_judged)
+            .map(|at| most_fronts_at_a_node(seen, at))
+            .fold(f.herd, usize::max);
     }
-    let calm = |at: &f64| inside(at) && seen.events.iter().all(|e| at + HERD < *e || *at > e + 10.0);
-    let mut at = terms.from;
-    let mut largest = Vec::new();
-    while at < terms.until {
-        let span = spans(at).filter(calm).map(|at| turned(seen, at)).max();
-        largest.extend(span.map(|s| s as f64));
-        at += 20.0 * HERD;
+    let is_calm =
+        |at: &f64| is_judged(at) && seen.events.iter().all(|e| at + HERD_WINDOW_S < *e || *at > e + 10.0);
+    let mut at = criteria.from;
+    let mut calm_herds = Vec::new();
+    while at < criteria.until {
+        let largest = windows_from(at).filter(is_calm).map(|at| most_fronts_at_a_node(seen, at)).max();
+        calm_herds.extend(largest.map(|fronts| fronts as f64));
+        at += 20.0 * HERD_WINDOW_S;
     }
-    if !largest.is_empty() {
-        largest.sort_by(f64::total_cmp);
-        f.herd_by_chance = largest[largest.len() / 2];
+    if !calm_herds.is_empty() {
+        calm_herds.sort_by(f64::total_cmp);
+        f.herd_by_chance = calm_herds[calm_herds.len() / 2];
     }
     f.herd_times = f.herd as f64 / f.herd_by_chance.max(1.0);
 }
 
-/// The part that nodes have that are well again.
-fn back(seen: &Seen, terms: &VerdictCriteria, f: &mut Figures) {
-    let mut parts: BTreeMap<u64, (f64, f64, f64)> = BTreeMap::new();
-    for &(node, _, well) in seen.troubled.iter().filter(|t| t.2 < terms.until - BACK - 4.0) {
-        let others = whole(seen, terms, seen.nodes[node].location);
+/// Compares the load of recovered nodes with that of the healthy nodes of their location.
+fn measure_recovery(seen: &Observations, criteria: &VerdictCriteria, f: &mut Figures) {
+    let mut sums: BTreeMap<u64, (f64, f64, f64)> = BTreeMap::new();
+    for &(node, _, recovered) in seen.troubled.iter().filter(|t| t.2 < criteria.until - RECOVERY_S - 4.0) {
+        let others = healthy_caches(seen, criteria, seen.nodes[node].location);
         if others.is_empty() || !seen.nodes[node].cache {
             continue;
         }
-        let part = |from: f64, until: f64| {
-            let all: f64 = others.iter().map(|&n| work(seen, n, from, until)).sum();
-            work(seen, node, from, until) * others.len() as f64 / all.max(1e-9)
+        let load = |from: f64, until: f64| {
+            let total: f64 = others.iter().map(|&n| node_work(seen, n, from, until)).sum();
+            node_work(seen, node, from, until) * others.len() as f64 / total.max(1e-9)
         };
-        let late = part(well + BACK, (well + BACK + 20.0).min(terms.until));
-        // Nodes that came back together are judged in their mean: one has too little to tell by.
-        let sum = parts.entry((well * 10.0) as u64).or_default();
-        *sum = (sum.0 + late, sum.1 + part(well + 0.5, well + BACK), sum.2 + 1.0);
+        let after_recovery =
+            load(recovered + RECOVERY_S, (recovered + RECOVERY_S + 20.0).min(criteria.until));
+        // Nodes that recovered together are judged by their mean: a single one has too little work for a
+        // stable figure.
+        let sum = sums.entry((recovered * 10.0) as u64).or_default();
+        *sum = (sum.0 + after_recovery, sum.1 + load(recovered + 0.5, recovered + RECOVERY_S), sum.2 + 1.0);
     }
-    let least = parts.values().map(|p| p.0 / p.2).reduce(f64::min);
-    let most = parts.values().map(|p| p.1 / p.2).reduce(f64::max);
+    let least = sums.values().map(|p| p.0 / p.2).reduce(f64::min);
+    let most = sums.values().map(|p| p.1 / p.2).reduce(f64::max);
     (f.back_least, f.back_most) = (least, most);
 }
 
-/// When an answer is late; never, where its client itself was late to read it.
-fn answer_by(asked: &Asked, terms: &VerdictCriteria) -> f64 {
-    let within = if asked.paced { f64::INFINITY } else { asked.deadline };
-    asked.at + within + terms.answer_slack + SOCKETS
+/// The time by which an answer is due; a client that reads at its own pace has no such time.
+fn answer_due(asked: &Asked, criteria: &VerdictCriteria) -> f64 {
+    let patience = if asked.paced { f64::INFINITY } else { asked.deadline };
+    asked.at + patience + criteria.answer_slack + SOCKET_SLACK_S
 }
 
-/// What broke while fronts' processes came and went, by what they were sent.
-fn cycles(seen: &Seen, terms: &VerdictCriteria, verdict: &mut Verdict) {
+/// Counts what became of requests during each series of signals, and adds the violations of fronts'
+/// processes.
+fn count_cycles(seen: &Observations, criteria: &VerdictCriteria, verdict: &mut Verdict) {
     for cycle in &seen.cycles {
         let during = |at: f64, front: usize| {
-            front == cycle.front && (cycle.from - BEFORE_CYCLE..cycle.until + AFTER_CYCLE).contains(&at)
+            front == cycle.front && (cycle.from - CYCLE_LEAD_S..cycle.until + CYCLE_TAIL_S).contains(&at)
         };
         let figures = verdict.cycles.entry(cycle.series).or_default();
         figures.times += 1;
         for asked in seen.asked.iter().filter(|a| during(a.at, a.front)) {
-            let late = asked.end.is_some_and(|(at, end)| at > answer_by(asked, terms) && end != End::Lost);
+            let late =
+                asked.end.is_some_and(|(at, end)| at > answer_due(asked, criteria) && end != End::Lost);
             figures.asked += 1;
             figures.lost += usize::from(!asked.excused && matches!(asked.end, None | Some((_, End::Lost))));
             figures.duplicated += usize::from(asked.again > 0);
@@ -331,14 +368,14 @@
     }
     let since = |at: f64| at - seen.began;
     for (at, front, what) in &seen.ends {
-        verdict.broken(
+        verdict.add_violation(
             "a process ends and starts as it is told",
             format!("front {front} at {:.2} s: {what}", since(*at)),
         );
     }
     for (at, front) in &seen.refused {
         let example = format!("front {front} at {:.2} s", since(*at));
-        verdict.broken("a process takes connections as long as the platform sends some", example);
+        verdict.add_violation("a process takes connections as long as the platform sends some", example);
     }
 }
 
@@ -347,27 +384,31 @@
         let f = &self.figures;
         writeln!(
             out,
-            "asked {}: served {:.4}, in time {:.4}, refused {:.4}, failed {:.4}, no front {:.4}; {:.3} attempts each, p99 {:.2} s",
+            "asked {}: served {:.4}, in time {:.4}, refused {:.4}, failed {:.4}, no front {:.4}; \
+             {:.3} attempts each, p99 {:.2} s",
             f.asked, f.served, f.in_time, f.refused, f.failed, f.unreached, f.attempts, f.p99_s
         )?;
         writeln!(
             out,
-            "work per unit of link, by the mean: most {:.2}, least {:.2}; longest idle {:.1} s",
+            "work per unit of link, relative to the mean: most {:.2}, least {:.2}; longest idle {:.1} s",
             f.most, f.least, f.idle_s
         )?;
         writeln!(
             out,
-            "herd after an event: {} fronts at one node in 0.1 s, by chance {:.0}",
+            "herd after an event: {} fronts at one node in 0.1 s, at calm times {:.0}",
             f.herd, f.herd_by_chance
         )?;
         if let (Some(least), Some(most)) = (f.back_least, f.back_most) {
-            writeln!(out, "nodes well again: {most:.2} of their part within 8 s, {least:.2} after that")?;
+            writeln!(out, "nodes recovered: {most:.2} of the mean load within 8 s, {least:.2} after that")?;
         }
         if let Some(excess) = f.cold_excess {
-            writeln!(out, "cold nodes: {excess:.2} times the root of N calls over N at most")?;
+            writeln!(
+                out,
+                "cold nodes: at most {excess:.2} times the square root of N over the N calls allowed"
+            )?;
         }
         if let Some(ready) = f.ready_s {
-            writeln!(out, "fronts started again: nine in ten ready within {ready:.2} s")?;
+            writeln!(out, "fronts restarted: nine in ten ready within {ready:.2} s")?;
         }
         writeln!(out, "bytes from copies {:.3}, from the origin {:.3}", f.hits, f.origin)?;
         for (rule, (times, example)) in &self.rules {
@@ -379,7 +420,7 @@
             (_, true) => "all held",
             _ => "not held",
         };
-        writeln!(out, "stand-ins late by {:.1} ms at one in a hundred; {end}", f.rig_late_ms)
+        writeln!(out, "stand-ins late by {:.1} ms at the 99th percentile; {end}", f.rig_late_ms)
     }
 }
 
--- a/crates/lab/src/fleet/verdict/tests.rs
+++ b/crates/lab/src/fleet/verdict/tests.rs
@@ -4,16 +4,16 @@
 use super::*;
 use onyxyoke_stand_ins::fleet::ObservedAttempt;
 
-/// Twenty seconds in which two caches of one location do half of the work each, for three fronts.
-fn calm() -> (Seen, VerdictCriteria) {
+/// Twenty seconds in which two caches of one location do half of the work each for three fronts.
+fn undisturbed() -> (Observations, VerdictCriteria) {
     let node = NodeInfo { location: 0, link: 4.0, cache: true };
     let above = NodeInfo { cache: false, ..node };
-    let mut seen = Seen::new(vec![node, node, above]);
+    let mut seen = Observations::new(vec![node, node, above]);
     seen.began = 1000.0;
     for i in 0..200 {
         let at = 1000.0 + f64::from(i) * 0.1;
         let (node, front) = (i as usize % 2, i as usize % 3);
-        let came = ObservedAttempt {
+        let arrival = ObservedAttempt {
             at,
             node,
             front,
@@ -24,7 +24,7 @@
             filled: false,
             origin: false,
         };
-        seen.attempts.push(Attempt { came, ended: Some(at + 0.1) });
+        seen.attempts.push(Attempt { arrival, ended: Some(at + 0.1) });
         let end = Some((at + 0.1, End::Served));
         let (aim, deadline, made) = (0.5, 3.0, Some(at));
         let (again, spoilt, excused, paced, object) = (0, false, false, false, 7);
@@ -44,7 +44,7 @@
         });
     }
     (0..2).for_each(|n| seen.done[n] = vec![0.1; 40]);
-    let terms = VerdictCriteria {
+    let criteria = VerdictCriteria {
         from: 1000.0,
         until: 1020.0,
         cold: Cold { from: 0.2, time: 10.0, multiple: 2.0, window: 1.0 },
@@ -54,25 +54,25 @@
         fronts: vec![3],
         bounds: Bounds { served: Some(0.95), most: Some(1.2), least: Some(0.8), ..Bounds::default() },
     };
-    (seen, terms)
+    (seen, criteria)
 }
 
-fn judged(change: impl Fn(&mut Seen)) -> Verdict {
-    let (mut seen, terms) = calm();
+fn judge_changed(change: impl Fn(&mut Observations)) -> Verdict {
+    let (mut seen, criteria) = undisturbed();
     change(&mut seen);
-    judge(&seen, &terms)
+    judge(&seen, &criteria)
 }
 
 #[test]
-fn a_calm_record_holds() {
-    let v = judged(|_| ());
+fn an_undisturbed_run_keeps_all_rules_and_bounds() {
+    let v = judge_changed(|_| ());
     assert!(v.held(), "{v}");
     assert!((v.figures.most - 1.0).abs() < 1e-9 && v.figures.served == 1.0 && v.figures.hits == 1.0);
 }
 
 #[test]
-fn each_planted_fault_is_found_by_its_name_and_no_other() {
-    type Plant = fn(&mut Seen);
+fn each_planted_fault_breaks_its_own_rule_only() {
+    type Plant = fn(&mut Observations);
     let plants: [(&str, Plant); 16] = [
         ("a process ends and starts as it is told", |s| s.ends.push((1005.0, 1, "exit 1".into()))),
         ("a process takes connections as long as the platform sends some", |s| {
@@ -89,22 +89,27 @@
             s.asked[100].made = Some(1004.0);
         }),
         ("never two attempts out", |s| {
-            s.attempts[6].came.key = Some(1);
+            s.attempts[6].arrival.key = Some(1);
             s.attempts[6].ended = Some(1003.0);
-            s.attempts[9].came.key = Some(1);
+            s.attempts[9].arrival.key = Some(1);
         }),
         ("nothing new to a draining node", |s| {
             s.told.push(NotificationRecord { at: 1005.0, node: 0, state: 1, front: None });
-            s.attempts.retain(|a| a.came.node != 0 || a.came.at < 1005.4 || a.came.at > 1019.7);
+            s.attempts.retain(|a| a.arrival.node != 0 || a.arrival.at < 1005.4 || a.arrival.at > 1019.7);
         }),
         ("nothing new to a draining node", |s| {
-            let came = s.attempts.iter().rfind(|a| a.came.node == 0).unwrap().came;
-            s.told.push(NotificationRecord { at: came.at - 0.7, node: 0, state: 1, front: Some(came.front) });
+            let arrival = s.attempts.iter().rfind(|a| a.arrival.node == 0).unwrap().arrival;
             s.told.push(NotificationRecord {
-                at: came.at - 0.1,
+                at: arrival.at - 0.7,
+                node: 0,
+                state: 1,
+                front: Some(arrival.front),
+            });
+            s.told.push(NotificationRecord {
+                at: arrival.at - 0.1,
                 node: 0,
                 state: 0,
-                front: Some(came.front + 1),
+                front: Some(arrival.front + 1),
             });
         }),
         ("nine in ten restarted fronts are ready within 10 s", |s| {
@@ -113,33 +118,34 @@
         ("a front is ready within 30 s", |s| s.ready = [vec![1.0; 10], vec![31.0]].concat()),
         ("no cold node pushed over", |s| {
             s.cold.push((0, 1002.0));
-            s.attempts[30].came.work = 4.0;
+            s.attempts[30].arrival.work = 4.0;
         }),
-        // It bears 29 calls a second at 1004 s, and with chance 41: 50 come at once.
+        // The node can take 29 calls a second at 1004 s, or 41 with the allowance for chance; 50 arrive at
+        // once.
         ("no cold node pushed over", |s| {
             s.cold.push((0, 1002.0));
-            let came = ObservedAttempt { at: 1004.0, node: 0, ..s.attempts[0].came };
-            let more = (0..50).map(|_| Attempt { came, ended: Some(1004.1) });
+            let arrival = ObservedAttempt { at: 1004.0, node: 0, ..s.attempts[0].arrival };
+            let more = (0..50).map(|_| Attempt { arrival, ended: Some(1004.1) });
             s.attempts.splice(40..40, more);
         }),
     ];
     for (rule, plant) in plants {
-        let v = judged(plant);
+        let v = judge_changed(plant);
         assert_eq!(v.rules.keys().collect::<Vec<_>>(), [rule], "{v}");
     }
 }
 
 #[test]
-fn what_is_excused_or_in_time_breaks_nothing() {
-    let v = judged(|s| {
+fn excused_and_timely_requests_break_no_rule() {
+    let v = judge_changed(|s| {
         s.asked[5].end = Some((1001.0, End::Lost));
         s.asked[5].excused = true;
         s.purged.push(1005.0);
         s.asked[50].made = Some(1004.9);
         s.told.push(NotificationRecord { at: 1005.0, node: 0, state: 1, front: None });
         s.told.push(NotificationRecord { at: 1005.3, node: 0, state: 0, front: None });
-        // Another front's list says so, and no attempt of that one comes.
-        let other = s.attempts.iter().map(|a| a.came.front).max().unwrap_or(0) + 1;
+        // Only another front's list has the node as draining, and that front makes no attempt.
+        let other = s.attempts.iter().map(|a| a.arrival.front).max().unwrap_or(0) + 1;
         s.told.push(NotificationRecord { at: 1006.0, node: 0, state: 1, front: Some(other) });
         s.cold.push((1, 1002.0));
         s.ready = vec![9.0, 1.0, 1.0, 1.0, 1.0, 1.0, 1.0, 1.0, 1.0, 29.0];
@@ -148,28 +154,31 @@
 }
 
 #[test]
-fn uneven_work_idle_nodes_and_herds_are_counted() {
-    let v = judged(|s| s.done[0] = vec![0.3; 40]);
+fn uneven_work_idle_nodes_and_herds_are_measured() {
+    let v = judge_changed(|s| s.done[0] = vec![0.3; 40]);
     assert_eq!(v.bounds.len(), 2, "{v}");
     assert!((v.figures.most - 1.5).abs() < 1e-9 && (v.figures.least - 0.5).abs() < 1e-9, "{v}");
-    let v = judged(|s| s.attempts.retain(|a| a.came.node != 1 || !(1004.0..1009.0).contains(&a.came.at)));
+    let v = judge_changed(|s| {
+        s.attempts.retain(|a| a.arrival.node != 1 || !(1004.0..1009.0).contains(&a.arrival.at))
+    });
     assert!((4.8..5.3).contains(&v.figures.idle_s), "{v}");
-    let v = judged(|s| {
+    let v = judge_changed(|s| {
         s.events.push(1010.0);
         for front in 0..30 {
-            let came = ObservedAttempt { at: 1010.31 + front as f64 * 0.002, front, ..s.attempts[0].came };
-            s.attempts.push(Attempt { came, ended: Some(1010.5) });
+            let arrival =
+                ObservedAttempt { at: 1010.31 + front as f64 * 0.002, front, ..s.attempts[0].arrival };
+            s.attempts.push(Attempt { arrival, ended: Some(1010.5) });
         }
     });
     assert_eq!((v.figures.herd, v.figures.herd_by_chance), (30, 1.0), "{v}");
 }
 
 #[test]
-fn a_node_that_is_well_again_is_judged_beside_the_others() {
-    let v = judged(|s| s.cold.push((0, 1002.0)));
-    // Five calls a second, where it bears 16 at its start and more from then on.
+fn a_recovered_node_is_compared_with_the_other_nodes() {
+    let v = judge_changed(|s| s.cold.push((0, 1002.0)));
+    // Five calls a second, where the node can take 16 at its start and more from then on.
     assert!((-3.8..-3.3).contains(&v.figures.cold_excess.unwrap()), "{v}");
-    let v = judged(|s| {
+    let v = judge_changed(|s| {
         s.troubled.push((0, 1001.0, 1003.0));
         s.done[0] = (0..40).map(|w| if (2..22).contains(&w) { 0.02 } else { 0.08 }).collect();
     });
@@ -178,16 +187,16 @@
 }
 
 #[test]
-fn late_stand_ins_give_no_verdict() {
-    let v = judged(|s| (0..100).for_each(|_| s.late.saturating_record(2 * RIG_LATE)));
+fn late_stand_ins_prevent_a_verdict() {
+    let v = judge_changed(|s| (0..100).for_each(|_| s.late.saturating_record(2 * MAX_RIG_LATENESS_US)));
     assert!(v.none && !v.held());
 }
 
-/// What is lost of a front's requests is counted with the series of signals that it was under, and with no other.
+/// Guards against losses of one front that are counted towards another front's series of signals.
 #[test]
-fn losses_are_counted_by_the_series_of_signals() {
+fn losses_count_towards_their_fronts_series_of_signals_only() {
     let cycle = |front, from, series| Cycle { front, from, until: from + 4.0, series };
-    let v = judged(|seen| {
+    let v = judge_changed(|seen| {
         seen.cycles.push(cycle(1, 1006.0, SignalSeries::Term));
         seen.cycles.push(cycle(2, 1006.0, SignalSeries::Replaced));
         let place = |front: usize, at: f64| move |a: &Asked| a.front == front && a.at > at;
@@ -204,19 +213,20 @@
     assert!(term.asked > 20 && !v.held());
 }
 
-/// A client that reads at a pace of its own is not answered late by its front, but it can lose an answer, or have two.
+/// A front isn't to blame when a client that reads at its own pace has its answer late, but it is for a lost
+/// or second answer.
 #[test]
-fn a_client_that_reads_slowly_may_be_late_and_may_lose_nothing() {
-    let late = |s: &mut Seen| {
+fn a_slow_reader_may_be_answered_late_but_lose_or_duplicate_nothing() {
+    let late = |s: &mut Observations| {
         s.asked[5].paced = true;
         s.asked[5].end = Some((s.asked[5].at + 30.0, End::Served));
     };
-    assert!(judged(late).rules.is_empty());
-    let lost = judged(|s| {
+    assert!(judge_changed(late).rules.is_empty());
+    let lost = judge_changed(|s| {
         s.asked[5].paced = true;
         s.asked[5].end = None;
     });
-    let twice = judged(|s| (s.asked[5].paced, s.asked[5].again) = (true, 1));
+    let twice = judge_changed(|s| (s.asked[5].paced, s.asked[5].again) = (true, 1));
     for broken in [lost, twice] {
         assert!(broken.rules.contains_key("one final answer"), "{broken}");
     }
