--- a/crates/lab/src/fleet/terminations.rs
+++ b/crates/lab/src/fleet/terminations.rs
@@ -1,28 +1,29 @@
-//! When processes of a front were told to end, and which connections no requests come on any more for that.
+//! When processes of a front were sent SIGTERM, and which connections carry no more requests because of it.
 
 use super::faults::COMING;
 use std::cell::RefCell;
 use std::time::{Duration, Instant};
 
-/// Requests come so long on the open connections of a process that was told to end (the platform's).
-const CLOSING: Duration = Duration::from_millis(600);
+/// The platform sends requests on a process's open connections for this long after its SIGTERM.
+const REQUESTS_AFTER_TERM: Duration = Duration::from_millis(600);
 
-/// The times at which processes of one front were told to end.
+/// The times at which processes of one front were sent SIGTERM.
 #[derive(Debug, Default)]
 pub struct Terminations(RefCell<Vec<Instant>>);
 
 impl Terminations {
-    /// A process was told to end at this time.
+    /// Records that a process was sent SIGTERM.
     pub fn note(&self, at: Instant) {
         self.0.borrow_mut().push(at);
     }
 
-    /// Is it over with requests on a connection that was made at this time? It is for good, once its process was told to end:
-    /// what is sent to one that is gone has the connection reset, with the answers that its client has not read.
+    /// Returns whether a connection established at this time carries no more requests. Once true it stays
+    /// true: a request to a process that has ended resets the connection, and the client loses the answers
+    /// that it hasn't read.
     pub fn end_requests(&self, made: Instant, now: Instant) -> bool {
         let coming = Duration::from_secs_f64(COMING);
-        let is_over = |told: Instant| now.saturating_duration_since(told) > CLOSING;
-        self.0.borrow().iter().any(|&told| made < told + coming && is_over(told))
+        let is_over = |term: Instant| now.saturating_duration_since(term) > REQUESTS_AFTER_TERM;
+        self.0.borrow().iter().any(|&term| made < term + coming && is_over(term))
     }
 }
 
@@ -30,19 +31,20 @@
 mod tests {
     use super::*;
 
-    /// Guards against the connections of a process that is gone, which were used again once the next was told to end.
+    /// Guards against requests on connections of a process that has ended, sent after the next process's
+    /// SIGTERM.
     #[test]
-    fn a_connection_stays_unused_when_the_next_process_is_told_to_end() {
+    fn a_connection_of_an_ended_process_stays_unused_after_the_next_sigterm() {
         let began = Instant::now();
         let at = |seconds: f64| began + Duration::from_secs_f64(seconds);
         let terminations = Terminations::default();
         terminations.note(at(2.0));
-        assert!(!terminations.end_requests(at(1.0), at(2.5)), "requests come for a while");
+        assert!(!terminations.end_requests(at(1.0), at(2.5)), "requests continue for a while");
         assert!(terminations.end_requests(at(1.0), at(2.7)));
         terminations.note(at(7.0));
-        assert!(terminations.end_requests(at(1.0), at(7.1)), "its process is gone");
-        assert!(!terminations.end_requests(at(5.0), at(7.1)), "this one is of the second process");
+        assert!(terminations.end_requests(at(1.0), at(7.1)), "its process has ended");
+        assert!(!terminations.end_requests(at(5.0), at(7.1)), "this one belongs to the second process");
         assert!(terminations.end_requests(at(5.0), at(7.7)));
-        assert!(!terminations.end_requests(at(7.5), at(9.0)), "and this one of the third");
+        assert!(!terminations.end_requests(at(7.5), at(9.0)), "and this one to the third");
     }
 }
