--- a/crates/lab/src/fleet/plan/check.rs
+++ b/crates/lab/src/fleet/plan/check.rs
@@ -1,13 +1,13 @@
-//! Checks a plan as a whole; an error names the key that is wrong.
+//! Validates a plan as a whole; an error names the invalid key.
 
 use super::{Clients, Fault, Kind, Plan, Rollout, Target};
 use crate::paced::Pace;
 
-/// Requests a second, over all fronts, that the stand-ins keep up with.
-const MOST_REQUESTS: f64 = 5_000.0;
+/// Requests per second over all fronts that the stand-ins keep up with.
+const MAX_REQUESTS_PER_S: f64 = 5_000.0;
 
-fn must(held: bool, what: &str) -> Result<(), String> {
-    if held { Ok(()) } else { Err(what.to_owned()) }
+fn ensure(is_valid: bool, message: &str) -> Result<(), String> {
+    if is_valid { Ok(()) } else { Err(message.to_owned()) }
 }
 
 fn is_share(number: f64) -> bool {
@@ -16,7 +16,7 @@
 
 impl Plan {
     pub(super) fn check(&self) -> Result<(), String> {
-        must((16..=4096).contains(&self.memory_mb), "'memory_mb' is from 16 to 4096")?;
+        ensure((16..=4096).contains(&self.memory_mb), "'memory_mb' must be from 16 to 4096")?;
         self.check_sizes()?;
         self.check_programs()?;
         self.check_clients()?;
@@ -30,85 +30,98 @@
     }
 
     fn check_sizes(&self) -> Result<(), String> {
-        must((1..=20).contains(&self.locations), "'locations' is not from 1 to 20")?;
-        must((self.locations..=400).contains(&self.fronts), "'fronts' is not from one a location to 400")?;
-        must((self.locations..=200).contains(&self.nodes), "'nodes' is not from one a location to 200")?;
-        must((1..=20).contains(&self.parents), "'parents' is not from 1 to 20")?;
-        must(
+        ensure((1..=20).contains(&self.locations), "'locations' must be from 1 to 20")?;
+        ensure(
+            (self.locations..=400).contains(&self.fronts),
+            "'fronts' must be from the number of locations to 400",
+        )?;
+        ensure(
+            (self.locations..=200).contains(&self.nodes),
+            "'nodes' must be from the number of locations to 200",
+        )?;
+        ensure((1..=20).contains(&self.parents), "'parents' must be from 1 to 20")?;
+        ensure(
             self.seconds.is_finite() && (1.0..=3600.0).contains(&self.seconds),
-            "'seconds' is not from 1 to 3600",
+            "'seconds' must be from 1 to 3600",
         )?;
-        must((0.0..self.seconds).contains(&self.judged_from), "'judged_from' does not lie before 'seconds'")?;
-        must(
+        ensure(
+            (0.0..self.seconds).contains(&self.judged_from),
+            "'judged_from' must be at least 0 and less than 'seconds'",
+        )?;
+        ensure(
             !self.links.is_empty() && self.links.iter().all(|link| (0.1..=1000.0).contains(link)),
-            "'links' is not a list of numbers from 0.1 to 1000",
+            "'links' must be a list of numbers from 0.1 to 1000",
         )
     }
 
     fn check_programs(&self) -> Result<(), String> {
         let shares_are_right =
             self.programs.iter().all(|program| program.share > 0.0 && program.share <= 1.0);
-        must(
+        ensure(
             !self.programs.is_empty() && shares_are_right,
-            "'programs' names none, or one whose 'share' is not above 0 and at most 1",
+            "'programs' must name at least one, each with a 'share' above 0 and at most 1",
         )?;
         let sum: f64 = self.programs.iter().map(|program| program.share).sum();
-        must((sum - 1.0).abs() < 0.01, "'programs': the shares do not sum to 1")
+        ensure((sum - 1.0).abs() < 0.01, "'programs': the shares must sum to 1")
     }
 
     fn check_clients(&self) -> Result<(), String> {
         let clients = &self.clients;
-        must((0.01..=200.0).contains(&clients.rate), "'clients.rate' is not from 0.01 to 200")?;
-        must(
-            self.fronts as f64 * clients.rate <= MOST_REQUESTS,
-            "'clients.rate' times 'fronts' is over 5000 a second, which the stand-ins do not keep up with",
+        ensure((0.01..=200.0).contains(&clients.rate), "'clients.rate' must be from 0.01 to 200")?;
+        ensure(
+            self.fronts as f64 * clients.rate <= MAX_REQUESTS_PER_S,
+            "'clients.rate' times 'fronts' must be at most 5000 per second, which the stand-ins keep up with",
         )?;
         clients.check()
     }
 
     fn check_rollout(&self, rollout: &Rollout) -> Result<(), String> {
-        must((0.0..self.seconds).contains(&rollout.at), "'rollout.at' does not lie in the plan")?;
+        ensure(
+            (0.0..self.seconds).contains(&rollout.at),
+            "'rollout.at' must be at least 0 and less than 'seconds'",
+        )?;
         let is_end = |end: &str| ["done", "stopped", "aborted", "failed"].contains(&end);
-        must(rollout.end.as_deref().is_none_or(is_end), "'rollout.end' is none that there is")?;
-        let is_word = |word: &(f64, String)| ["pause", "resume", "abort"].contains(&word.1.as_str());
-        must(
-            rollout.words.iter().all(is_word),
-            "'rollout.words' has one that is not 'pause', 'resume' or 'abort'",
+        ensure(
+            rollout.end.as_deref().is_none_or(is_end),
+            "'rollout.end' must be 'done', 'stopped', 'aborted' or 'failed'",
         )?;
-        let renews_fronts = |fault: &Fault| {
+        let is_command = |command: &(f64, String)| ["pause", "resume", "abort"].contains(&command.1.as_str());
+        ensure(rollout.words.iter().all(is_command), "'rollout.words' must be 'pause', 'resume' or 'abort'")?;
+        let replaces_fronts = |fault: &Fault| {
             matches!(fault.kind, Kind::FrontReplaced | Kind::FrontRestarted | Kind::FrontCycled { .. })
         };
-        must(
-            !self.faults.iter().any(renews_fronts) && self.programs.len() == 1,
-            "'rollout' goes with one program and without fronts that the rig replaces or restarts",
+        ensure(
+            !self.faults.iter().any(replaces_fronts) && self.programs.len() == 1,
+            "'rollout' needs exactly one program, and no faults that replace or restart fronts",
         )
     }
 
-    /// An error is the fault's key that is wrong, and what is wrong with it.
+    /// An error is the fault's invalid key, and what is wrong with it.
     fn check_fault(&self, fault: &Fault) -> Result<(), (String, String)> {
         let in_order = (0.0..=self.seconds).contains(&fault.at) && fault.at <= fault.until;
         if !in_order {
-            return Err(("at".into(), "does not lie in the plan and before 'until'".into()));
+            return Err(("at".into(), "must be from 0 to 'seconds' and not after 'until'".into()));
         }
-        for (name, target, most) in
+        for (name, target, count) in
             [("fronts", &fault.fronts, self.fronts), ("nodes", &fault.nodes, self.nodes)]
         {
-            self.check_target(target, most).map_err(|(key, what)| (format!("{name}.{key}"), what))?;
+            self.check_target(target, count).map_err(|(key, what)| (format!("{name}.{key}"), what))?;
         }
-        let (key, held) = fault.kind.check();
-        if held { Ok(()) } else { Err((key.into(), "is out of range".into())) }
+        let (key, is_valid) = fault.kind.check();
+        if is_valid { Ok(()) } else { Err((key.into(), "is out of range".into())) }
     }
 
-    /// The same of a target among so many.
-    fn check_target(&self, target: &Target, most: usize) -> Result<(), (&'static str, String)> {
-        if target.places.iter().any(|place| *place >= most) {
-            return Err(("places", format!("names one of {most} or beyond")));
+    /// Validates a target among `count` fronts or nodes; an error is the target's invalid key, and what is
+    /// wrong with it.
+    fn check_target(&self, target: &Target, count: usize) -> Result<(), (&'static str, String)> {
+        if target.places.iter().any(|place| *place >= count) {
+            return Err(("places", format!("must be less than {count}")));
         }
         if target.location.is_some_and(|location| location >= self.locations) {
-            return Err(("location", "is none of the locations".into()));
+            return Err(("location", "must be less than 'locations'".into()));
         }
         if target.share.is_some_and(|share| !is_share(share)) {
-            return Err(("share", "is not from 0 to 1".into()));
+            return Err(("share", "must be from 0 to 1".into()));
         }
         Ok(())
     }
@@ -116,26 +129,27 @@
 
 impl Clients {
     fn check(&self) -> Result<(), String> {
-        must(
+        ensure(
             is_share(self.busy_share) && is_share(self.holds),
-            "'clients.busy_share' or 'clients.holds' is not from 0 to 1",
+            "'clients.busy_share' and 'clients.holds' must be from 0 to 1",
         )?;
-        must((1..=64).contains(&self.connections), "'clients.connections' is not from 1 to 64")?;
-        must(self.object_bytes <= 240_000, "'clients.object_bytes' is over 240000")?;
-        let pace = |pace: &Pace| (0.0..=4.0).contains(&pace.pause_s) && (1..=1_000_000).contains(&pace.chunk);
-        must(
-            self.pace.as_ref().is_none_or(pace),
-            "'clients.pace' pauses for over 4 s, or reads no bytes or over 1 MB",
+        ensure((1..=64).contains(&self.connections), "'clients.connections' must be from 1 to 64")?;
+        ensure(self.object_bytes <= 240_000, "'clients.object_bytes' must be at most 240000")?;
+        let is_pace_valid =
+            |pace: &Pace| (0.0..=4.0).contains(&pace.pause_s) && (1..=1_000_000).contains(&pace.chunk);
+        ensure(
+            self.pace.as_ref().is_none_or(is_pace_valid),
+            "'clients.pace' must pause for at most 4 s and read from 1 byte to 1 MB",
         )?;
-        must((1.0..=100.0).contains(&self.busy_times), "'clients.busy_times' is not from 1 to 100")?;
-        must((0.1..=3.0).contains(&self.zipf), "'clients.zipf' is not from 0.1 to 3")?;
-        must((10..=1_000_000).contains(&self.objects), "'clients.objects' is not from 10 to 1000000")?;
-        must((0.01..=2.0).contains(&self.load), "'clients.load' is not from 0.01 to 2")
+        ensure((1.0..=100.0).contains(&self.busy_times), "'clients.busy_times' must be from 1 to 100")?;
+        ensure((0.1..=3.0).contains(&self.zipf), "'clients.zipf' must be from 0.1 to 3")?;
+        ensure((10..=1_000_000).contains(&self.objects), "'clients.objects' must be from 10 to 1000000")?;
+        ensure((0.01..=2.0).contains(&self.load), "'clients.load' must be from 0.01 to 2")
     }
 }
 
 impl Kind {
-    /// The key of its number, and whether that is in range.
+    /// The key of the fault's number, and whether the number is in range.
     fn check(&self) -> (&'static str, bool) {
         match *self {
             Kind::NodeSlow { times } | Kind::Burst { times } => ("times", (0.01..=1000.0).contains(&times)),
--- a/crates/lab/src/fleet/plan/tests.rs
+++ b/crates/lab/src/fleet/plan/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn an_error_names_its_key() {
+fn an_error_names_the_invalid_key() {
     let wrong = [
         (r#"{"frots": 3}"#, "frots"),
         (r#"{"clients": {"rate": "x"}}"#, "clients.rate"),
