--- a/crates/lab/src/fleet/plan.rs
+++ b/crates/lab/src/fleet/plan.rs
@@ -1,4 +1,5 @@
-//! What a fleet is made of, what is asked of it, what fails when, and what must hold: one file, checked as a whole.
+//! The plan of a run: the fleet, its clients' load, the faults and the bounds to keep. One file, validated as
+//! a whole.
 
 mod check;
 
@@ -7,62 +8,63 @@
 use serde::{Deserialize, Serialize};
 use std::path::PathBuf;
 
-/// A plan. Times are seconds from when all fronts are ready.
+/// A plan. Times are seconds since all fronts are ready.
 #[derive(Debug, Clone, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Plan {
-    /// How long it is played; what comes before `judged_from` only warms the caches.
+    /// The length of the run. Requests before `judged_from` only warm the caches.
     pub seconds: f64,
     pub judged_from: f64,
-    /// Locations, each with its own fronts and cache nodes.
+    /// Number of locations, each with its own fronts and cache nodes.
     pub locations: usize,
-    /// Front processes, over all locations.
+    /// Number of front processes over all locations.
     pub fronts: usize,
-    /// Cache nodes, over all locations; parents, for all of them.
+    /// Number of cache nodes over all locations, and of the parents that they share.
     pub nodes: usize,
     pub parents: usize,
-    /// Links of the first node, the second and so on in turn, in transfers at full pace.
+    /// Link capacities in transfers at full pace, assigned to the nodes in order and repeated.
     pub links: Vec<f64>,
-    /// What a front may have (megabytes). A debug build alone takes half of what the platform gives.
+    /// The memory limit of a front (megabytes). A debug build by itself takes half of what the platform
+    /// allows.
     pub memory_mb: usize,
-    /// Which programs the fronts run, in shares of all fronts.
+    /// The programs that the fronts run, each on a share of the fronts.
     pub programs: Vec<Program>,
     pub clients: Clients,
-    /// News of the list come so long after what they tell (seconds): of a node that is gone, and of one that is back.
+    /// The delay until the list reports that a node is gone, or that it is back (seconds).
     pub told_gone_s: f64,
     pub told_back_s: f64,
     pub faults: Vec<Fault>,
     pub bounds: Bounds,
-    /// A rollout that `onyxyoke-rollout` drives over the fronts meanwhile.
+    /// A rollout that `onyxyoke-rollout` drives over the fronts during the run.
     pub rollout: Option<Rollout>,
 }
 
-/// A rollout over all fronts, and what happens to the tool that drives it. Times are seconds from its start.
+/// A rollout over all fronts, and the faults of the tool that drives it. Times are seconds since its start.
 #[derive(Debug, Clone, Default, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Rollout {
-    /// When it starts, from when all fronts are ready.
+    /// When it starts (seconds since all fronts are ready).
     pub at: f64,
-    /// The new program; without one the old one's.
+    /// The new program; the old one if there is none.
     pub program: Option<PathBuf>,
-    /// Variables of the new program alone.
+    /// Environment variables of the new program only.
     pub variables: std::collections::BTreeMap<String, String>,
-    /// Settings that are changed: what it names is replaced.
+    /// Changed settings: each named one is replaced.
     pub settings: Option<serde_json::Value>,
-    /// Parts of the rollout's plan, as `onyxyoke-rollout plan --schema` has them.
+    /// Sections of the rollout's plan, as in `onyxyoke-rollout plan --schema`.
     pub spans: serde_json::Map<String, serde_json::Value>,
     pub limits: serde_json::Map<String, serde_json::Value>,
     pub gates: serde_json::Map<String, serde_json::Value>,
     pub seed: u64,
-    /// The tool is killed once its journal has so many records, and started again.
+    /// The tool is killed and restarted each time its journal reaches one of these numbers of records.
     pub killed_at: Vec<usize>,
-    /// It stands still (SIGSTOP) from and until.
+    /// The tool is stopped (SIGSTOP) from the first time until the second.
     pub stopped: Option<(f64, f64)>,
-    /// What an operator says: `pause`, `resume` or `abort`.
+    /// Operators' commands and their times: `pause`, `resume` or `abort`.
     pub words: Vec<(f64, String)>,
-    /// New processes end by themselves: what is open at a front then is nobody's to answer.
+    /// New processes end by themselves, so that requests open at them may be lost.
     pub crashes: bool,
-    /// How it must end: `done`, `stopped`, `aborted` or `failed`.
+    /// The end that is expected: `done`, `stopped`, `aborted` or `failed`.
     pub end: Option<String>,
 }
 
@@ -70,45 +72,47 @@
 #[derive(Debug, Clone, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Program {
-    /// What it is called in the report.
+    /// Its name in the report.
     pub name: String,
-    /// Its file; without one, the `onyxyoke` beside this program.
+    /// Its file; by default the `onyxyoke` in the folder of this program.
     #[serde(default)]
     pub path: Option<PathBuf>,
-    /// Share of all fronts.
-    #[serde(default = "one")]
+    /// The share of the fronts that run it.
+    #[serde(default = "full_share")]
     pub share: f64,
 }
 
-fn one() -> f64 {
+fn full_share() -> f64 {
     1.0
 }
 
-/// Clients that ask whether or not they were answered.
+/// Clients whose rate of requests doesn't depend on the answers (an open loop).
 #[derive(Debug, Clone, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Clients {
-    /// Requests a second of a front, in the mean.
+    /// Mean requests per second at a front.
     pub rate: f64,
-    /// This share of the fronts sees so many times what the others do.
+    /// The share of the fronts that are busy.
     pub busy_share: f64,
+    /// The rate at a busy front, as a multiple of the rate at the others.
     pub busy_times: f64,
-    /// Popularity falls off with this power of the rank.
+    /// The exponent of the Zipf distribution of objects' popularity.
     pub zipf: f64,
+    /// Number of objects.
     pub objects: u64,
-    /// Mean use of the links, from which the sizes of objects follow.
+    /// Mean utilization of the links, which determines the sizes of objects.
     pub load: f64,
-    /// Share of requests that run at the origin, once, and leave no copy.
+    /// The share of requests that run at the origin, at most once, and leave no copy.
     pub holds: f64,
     /// Connections that the clients of a front keep open and use.
     pub connections: usize,
-    /// Bytes of an object, at least.
+    /// The least size of an object (bytes).
     pub object_bytes: usize,
-    /// How they read; without, all at once.
+    /// The pace at which clients read; by default they read without pauses.
     pub pace: Option<Pace>,
 }
 
-/// What goes wrong, with whom, and from and until when.
+/// A fault, its span of time, and the fronts and nodes that it affects.
 #[derive(Debug, Clone, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
@@ -116,76 +120,79 @@
     pub kind: Kind,
     pub at: f64,
     pub until: f64,
-    /// The fronts that it concerns, and the cache nodes; all where nothing is said.
+    /// The fronts and cache nodes that it affects; all by default.
     #[serde(default)]
     pub fronts: Target,
     #[serde(default)]
     pub nodes: Target,
 }
 
-/// Faults by name.
+/// Kinds of faults.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
 pub enum Kind {
-    /// Fronts are killed at once, and started again at the end.
+    /// Fronts are killed at once, and restarted at the end.
     FrontKilled,
-    /// Fronts stand still (SIGSTOP), and go on with old news.
+    /// Fronts are stopped (SIGSTOP), and continue with a stale list.
     FrontStopped,
-    /// A second process takes over from each front, one after the other over the span.
+    /// Each front is replaced by a second process started beside it, one front after the other over the span.
     FrontReplaced,
-    /// Fronts end by SIGTERM, one after the other over the span, and start again once they have.
+    /// Fronts get SIGTERM, one after the other over the span, and are restarted once they have ended.
     FrontRestarted,
-    /// These signals go to a front's process, in turn over the span if there are several fronts. A process that is told to end
-    /// is killed as early as the platform may, while its clients use their open connections; another takes its place.
+    /// Fronts' processes get a series of signals, one front after the other over the span. A process that got
+    /// SIGTERM is killed as early as the platform may do so, while clients use its open connections; another
+    /// one replaces it.
     FrontCycled { series: SignalSeries, gap_s: f64 },
-    /// So many connections to each of these fronts that say nothing, or half of a request.
+    /// Each front gets this number of connections that send nothing, or half a request.
     Crowd { connections: usize },
-    /// The memory limit of these fronts is cut below what their program takes, and restored, again and again.
+    /// The fronts' memory limit is repeatedly cut below what their program takes, and restored.
     MemoryScarce,
-    /// Nodes are gone: connections are refused; they come back empty and cold.
+    /// Nodes refuse connections, and come back empty and cold.
     NodeKilled,
-    /// Nodes are gone, and others with new ids listen at their addresses after the span.
+    /// Nodes refuse connections, and after the span others with new ids listen at their addresses.
     NodeReplaced,
-    /// Nodes drain by the list, and come back cold.
+    /// The list has the nodes as draining; they come back cold.
     NodeDrained,
-    /// Operators cordon nodes at every front, and call that back; what the list says does not change.
+    /// Operators cordon the nodes at every front, and uncordon them at the end; the list doesn't change.
     NodeCordoned,
-    /// Nodes take everything and say nothing.
+    /// Nodes accept connections and requests, and never answer.
     NodeSilent,
-    /// Links are so many times as thin.
+    /// The capacity of the nodes' links is divided by this.
     NodeSlow { times: f64 },
-    /// This share of requests is answered at once with an error.
+    /// Nodes answer this share of requests at once with an error.
     NodeFailing { share: f64 },
-    /// This share of answers breaks off in the middle, and its connection ends.
+    /// This share of nodes' answers breaks off in the middle, and the connection ends.
     NodeBreaking { share: f64 },
-    /// Nothing passes between these fronts and these nodes.
+    /// No data passes between these fronts and these nodes.
     PathSilent,
-    /// Connections between these fronts and these nodes end.
+    /// Connections between these fronts and these nodes are reset.
     PathReset,
-    /// Everything between these fronts and these nodes takes longer.
+    /// Data between these fronts and these nodes is delayed by this time.
     PathDelayed { seconds: f64 },
-    /// Of the connections between these fronts and these nodes this share is up and dead: what is sent over them is
-    /// taken, and nothing comes back.
+    /// This share of the connections between these fronts and these nodes is half-open: it accepts what is
+    /// sent, and nothing comes back.
     PathHalfOpen { share: f64 },
-    /// The coordinator tells these fronts nothing.
+    /// The coordinators of these fronts hold back their updates.
     NewsLate,
-    /// The coordinator of these fronts ends every connection as it comes.
+    /// The coordinators of these fronts close every connection on arrival.
     NewsCut,
-    /// The coordinator of these fronts takes every connection and says nothing at all.
+    /// The coordinators of these fronts accept every connection and send nothing.
     NewsSilent,
-    /// The coordinator tells these fronts everything again and again, from the first event on.
+    /// The coordinators of these fronts repeat all their updates, from the first event on.
     NewsRepeated,
-    /// The coordinator tells these fronts nothing of these nodes, so that their list is another than that of others.
+    /// The coordinators of these fronts leave out these nodes, so that the fronts' lists differ from those of
+    /// others.
     NewsPartial,
-    /// So many times the usual load.
+    /// The load is multiplied by this.
     Burst { times: f64 },
-    /// One object is this share of all requests.
+    /// This share of all requests is for one object.
     Hot { share: f64 },
     /// Every object is purged.
     Purged,
 }
 
-/// What a front's process is sent, and what is started beside it; each step comes `gap_s` after the one before.
+/// Signals to a front's process and starts of processes beside it; each step follows the previous one after
+/// `gap_s`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize, JsonSchema)]
 #[serde(rename_all = "kebab-case")]
 pub enum SignalSeries {
@@ -197,22 +204,22 @@
     HangupInTerm,
     /// SIGHUP twice, then SIGTERM.
     TermInHangup,
-    /// SIGTERM; another process starts while it closes.
+    /// SIGTERM; another process starts while the first closes.
     SuccessorInTerm,
-    /// Another process starts, and the first is told to end once that is ready.
+    /// Another process starts; the first gets SIGTERM once that one is ready.
     Replaced,
-    /// The same, with two SIGTERM.
+    /// Another process starts; the first gets SIGTERM twice once that one is ready.
     ReplacedTermTwice,
-    /// SIGHUP, another process starts, and the first is told to end once that is ready.
+    /// SIGHUP, then another process starts; the first gets SIGTERM once that one is ready.
     SuccessorInHangup,
-    /// Another process starts and is told to end before it is ready; then the first is told to end.
+    /// Another process starts and gets SIGTERM before it is ready; then the first gets SIGTERM.
     TermBeforeReady,
-    /// SIGHUP with an unusable file, then with a usable one, then twice more.
+    /// SIGHUP with an invalid file, then with a valid one, then twice more.
     Hangups,
 }
 
 impl SignalSeries {
-    /// All that there are.
+    /// All series.
     pub const ALL: [SignalSeries; 10] = [
         SignalSeries::Term,
         SignalSeries::TermTwice,
@@ -232,7 +239,8 @@
     }
 }
 
-/// Of these, by place; else of these locations, or of all; of what is left this share, drawn by the seed.
+/// Selects fronts or nodes: those of `places`, else those of `location`, else all; of these a random `share`,
+/// drawn from the seed.
 #[derive(Debug, Clone, Default, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Target {
@@ -241,24 +249,27 @@
     pub share: Option<f64>,
 }
 
-/// What must hold, beside the rules, which must in any case. What is left out is only reported.
+/// Bounds of the figures, beside the rules, which always apply. Figures without a bound are only reported.
 #[derive(Debug, Clone, Default, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct Bounds {
-    /// Least share of the requests that is served, and that is served in time.
+    /// The least share of requests that are served, and that are served in time.
     pub served: Option<f64>,
     pub in_time: Option<f64>,
-    /// Work per unit of link of the most and the least loaded node by the mean of its location.
+    /// Limits of the work per unit of link of the most and the least loaded node, relative to the mean of its
+    /// location.
     pub most: Option<f64>,
     pub least: Option<f64>,
-    /// Longest time in which a node that is up has nothing to do (seconds).
+    /// The longest time that a healthy node may have nothing to do (seconds).
     pub idle_s: Option<f64>,
-    /// Most fronts that turn to one node within 0.1 s of an event, in times what chance gives.
+    /// The most fronts that may call one node within 0.1 s of an event, as a multiple of the same at calm
+    /// times.
     pub herd: Option<f64>,
-    /// Of a node that is well again: its least part by the mean from 8 s after on, and its most from the start.
+    /// Limits of the load of recovered nodes relative to the mean: the least after 8 s, and the most within
+    /// them.
     pub back_least: Option<f64>,
     pub back_most: Option<f64>,
-    /// Least byte hit ratio.
+    /// The least byte hit ratio.
     pub hits: Option<f64>,
 }
 
@@ -279,7 +290,7 @@
     }
 }
 
-/// The small plan that is played without a file: a newcomer's first look.
+/// The small plan that runs when no file is given.
 impl Default for Plan {
     fn default() -> Self {
         Plan {
@@ -303,7 +314,7 @@
 }
 
 impl Plan {
-    /// The plan of the first look: one node is killed, and is back.
+    /// The plan that runs when no file is given: one node is killed and comes back.
     pub fn first_look() -> Plan {
         let target = Target { places: vec![3], ..Target::default() };
         let killed =
@@ -312,21 +323,21 @@
         Plan { faults: vec![killed], bounds, ..Plan::default() }
     }
 
-    /// Reads a plan; an error names the key.
+    /// Parses and validates a plan; an error names the invalid key.
     pub fn read(text: &str) -> Result<Plan, String> {
-        let mut from = serde_json::Deserializer::from_str(text);
-        let plan: Plan = serde_path_to_error::deserialize(&mut from)
+        let mut deserializer = serde_json::Deserializer::from_str(text);
+        let plan: Plan = serde_path_to_error::deserialize(&mut deserializer)
             .map_err(|e| format!("'{}': {}", e.path(), e.inner()))?;
         plan.check()?;
         Ok(plan)
     }
 
-    /// The location of a front, or of a node.
+    /// The location of a front or node.
     pub fn location(&self, place: usize) -> usize {
         place % self.locations
     }
 
-    /// Requests a second of each front.
+    /// Mean requests per second at a front.
     pub fn rate(&self, front: usize) -> f64 {
         let busy = (self.clients.busy_share * self.fronts as f64).round();
         let mean = 1.0 + busy / self.fronts as f64 * (self.clients.busy_times - 1.0);
@@ -334,12 +345,12 @@
         self.clients.rate * times / mean
     }
 
-    /// The link of a node.
+    /// The link capacity of a node, in transfers at full pace.
     pub fn link(&self, node: usize) -> f64 {
         self.links[node % self.links.len()]
     }
 
-    /// Mean seconds of sending of an object.
+    /// The mean time to send an object at full pace (seconds).
     pub fn work(&self) -> f64 {
         let links: f64 = (0..self.nodes).map(|n| self.link(n)).sum();
         self.clients.load * links / (self.fronts as f64 * self.clients.rate)
