--- a/crates/lab/src/fleet/plot.rs
+++ b/crates/lab/src/fleet/plot.rs
@@ -10,12 +10,12 @@
 
 /// Draws a line for each cache node: its work per unit of link, relative to the mean of all cache nodes at
 /// that time.
-pub fn draw(path: &Path, seen: &Observations) -> Result<(), Box<dyn Error>> {
-    let caches: Vec<usize> = (0..seen.nodes.len()).filter(|&n| seen.nodes[n].cache).collect();
-    let windows = caches.iter().map(|&n| seen.done[n].len()).min().unwrap_or(0);
+pub fn draw(path: &Path, observed: &Observations) -> Result<(), Box<dyn Error>> {
+    let caches: Vec<usize> = (0..observed.nodes.len()).filter(|&n| observed.nodes[n].cache).collect();
+    let windows = caches.iter().map(|&n| observed.done[n].len()).min().unwrap_or(0);
     let points = windows / WINDOWS_PER_POINT;
     let work_at = |n: usize, p: usize| {
-        seen.done[n][p * WINDOWS_PER_POINT..(p + 1) * WINDOWS_PER_POINT].iter().sum::<f64>()
+        observed.done[n][p * WINDOWS_PER_POINT..(p + 1) * WINDOWS_PER_POINT].iter().sum::<f64>()
     };
     let mean = |p: usize| caches.iter().map(|&n| work_at(n, p)).sum::<f64>() / caches.len().max(1) as f64;
     let until = (points * WINDOWS_PER_POINT) as f64 * WINDOW;
@@ -36,8 +36,8 @@
         });
         chart.draw_series(LineSeries::new(line, color))?;
     }
-    for event in &seen.events {
-        let x = event - seen.began;
+    for event in &observed.events {
+        let x = event - observed.began;
         chart.draw_series(LineSeries::new([(x, 0.0), (x, 3.0)], BLACK.mix(0.4)))?;
     }
     root.present()?;
--- a/crates/lab/src/fleet/record.rs
+++ b/crates/lab/src/fleet/record.rs
@@ -190,19 +190,19 @@
 /// Writes each request as a line of CSV: its time, front, object, deadline, end and duration, and whether it
 /// is excused; then the front, the client's port, the start and the end of the connection that it was last
 /// sent on.
-pub fn write_requests(path: &Path, seen: &Observations) -> io::Result<()> {
+pub fn write_requests(path: &Path, observed: &Observations) -> io::Result<()> {
     let mut out = io::BufWriter::new(std::fs::File::create(path)?);
     let columns = "at_s,front,object,deadline_s,end,took_s,excused,sent_to,port,connected_s,closed_s";
     writeln!(out, "{columns}")?;
-    for a in &seen.asked {
+    for a in &observed.asked {
         let (took, end) = a.end.map_or((f64::NAN, "open".into()), |(t, e)| (t - a.at, format!("{e:?}")));
-        let at = a.at - seen.began;
+        let at = a.at - observed.began;
         write!(out, "{at:.3},{},{:016x},{},{end},{took:.3},{}", a.front, a.object, a.deadline, a.excused)?;
         match a.sent_on {
             None => writeln!(out, ",,,,")?,
             Some(SentOn { front, port, made, closed }) => {
-                let made = made - seen.began;
-                let closed = closed.map_or(String::new(), |at| format!("{:.3}", at - seen.began));
+                let made = made - observed.began;
+                let closed = closed.map_or(String::new(), |at| format!("{:.3}", at - observed.began));
                 writeln!(out, ",{front},{port},{made:.3},{closed}")?;
             }
         }
--- a/crates/lab/src/fleet/verdict.rs
+++ b/crates/lab/src/fleet/verdict.rs
@@ -155,17 +155,17 @@
 }
 
 /// Judges a run.
-pub fn judge(seen: &Observations, criteria: &VerdictCriteria) -> Verdict {
-    let mut verdict = Verdict { figures: client_figures(seen, criteria), ..Verdict::default() };
+pub fn judge(observed: &Observations, criteria: &VerdictCriteria) -> Verdict {
+    let mut verdict = Verdict { figures: client_figures(observed, criteria), ..Verdict::default() };
     let f = &mut verdict.figures;
-    measure_evenness(seen, criteria, f);
-    f.idle_s = longest_idle_s(seen, criteria);
-    measure_herds(seen, criteria, f);
-    measure_recovery(seen, criteria, f);
-    f.rig_late_ms = seen.late.value_at_quantile(0.99) as f64 / 1000.0;
-    verdict.none = seen.late.value_at_quantile(0.99) > MAX_RIG_LATENESS_US;
-    rules::check(seen, criteria, &mut verdict);
-    count_cycles(seen, criteria, &mut verdict);
+    measure_evenness(observed, criteria, f);
+    f.idle_s = longest_idle_s(observed, criteria);
+    measure_herds(observed, criteria, f);
+    measure_recovery(observed, criteria, f);
+    f.rig_late_ms = observed.late.value_at_quantile(0.99) as f64 / 1000.0;
+    verdict.none = observed.late.value_at_quantile(0.99) > MAX_RIG_LATENESS_US;
+    rules::check(observed, criteria, &mut verdict);
+    count_cycles(observed, criteria, &mut verdict);
     let bounds = &criteria.bounds;
     let f = verdict.figures.clone();
     let mut check_bound = |name: &str, value: f64, bound: Option<f64>, is_minimum: bool| {
@@ -187,8 +187,8 @@
 }
 
 /// The figures of clients' requests and of the nodes' work.
-fn client_figures(seen: &Observations, criteria: &VerdictCriteria) -> Figures {
-    let judged = || seen.asked.iter().filter(|a| (criteria.from..criteria.until).contains(&a.at));
+fn client_figures(observed: &Observations, criteria: &VerdictCriteria) -> Figures {
+    let judged = || observed.asked.iter().filter(|a| (criteria.from..criteria.until).contains(&a.at));
     let total_requests = judged().count().max(1) as f64;
     let share =
         |end: End| judged().filter(|a| a.end.is_some_and(|e| e.1 == end)).count() as f64 / total_requests;
@@ -200,7 +200,7 @@
         latencies.saturating_record(((at - sent).max(0.0) * 1e6) as u64);
     }
     let attempts =
-        || seen.attempts.iter().filter(|a| (criteria.from..criteria.until).contains(&a.arrival.at));
+        || observed.attempts.iter().filter(|a| (criteria.from..criteria.until).contains(&a.arrival.at));
     let work_where = |is_counted: &dyn Fn(&Attempt) -> bool| {
         attempts().filter(|a| is_counted(a)).map(|a| a.arrival.work).sum::<f64>()
     };
@@ -221,26 +221,28 @@
 }
 
 /// The cache nodes of a location that were healthy throughout the judged span.
-fn healthy_caches(seen: &Observations, criteria: &VerdictCriteria, location: usize) -> Vec<usize> {
+fn healthy_caches(observed: &Observations, criteria: &VerdictCriteria, location: usize) -> Vec<usize> {
     let troubled =
-        |n: usize| seen.troubled.iter().any(|t| t.0 == n && t.1 < criteria.until && t.2 > criteria.from);
-    let here = |n: &usize| seen.nodes[*n].cache && seen.nodes[*n].location == location && !troubled(*n);
-    (0..seen.nodes.len()).filter(here).collect()
+        |n: usize| observed.troubled.iter().any(|t| t.0 == n && t.1 < criteria.until && t.2 > criteria.from);
+    let here =
+        |n: &usize| observed.nodes[*n].cache && observed.nodes[*n].location == location && !troubled(*n);
+    (0..observed.nodes.len()).filter(here).collect()
 }
 
 /// Work of a node in a span of time, per unit of link.
-fn node_work(seen: &Observations, node: usize, from: f64, until: f64) -> f64 {
-    let window_at = |time: f64| (((time - seen.began) / WINDOW).max(0.0) as usize).min(seen.done[node].len());
-    seen.done[node][window_at(from)..window_at(until)].iter().sum()
+fn node_work(observed: &Observations, node: usize, from: f64, until: f64) -> f64 {
+    let window_at =
+        |time: f64| (((time - observed.began) / WINDOW).max(0.0) as usize).min(observed.done[node].len());
+    observed.done[node][window_at(from)..window_at(until)].iter().sum()
 }
 
 /// Compares the work of the healthy nodes of each location.
-fn measure_evenness(seen: &Observations, criteria: &VerdictCriteria, f: &mut Figures) {
+fn measure_evenness(observed: &Observations, criteria: &VerdictCriteria, f: &mut Figures) {
     (f.most, f.least) = (0.0, f64::MAX);
     for location in 0..criteria.fronts.len() {
-        let nodes = healthy_caches(seen, criteria, location);
+        let nodes = healthy_caches(observed, criteria, location);
         let works: Vec<f64> =
-            nodes.iter().map(|&n| node_work(seen, n, criteria.from, criteria.until)).collect();
+            nodes.iter().map(|&n| node_work(observed, n, criteria.from, criteria.until)).collect();
         let mean = works.iter().sum::<f64>() / works.len().max(1) as f64;
         if mean > 0.0 {
             f.most = works.iter().map(|w| w / mean).fold(f.most, f64::max);
@@ -251,11 +253,11 @@
 
 /// The longest time that a healthy node had nothing to do while its location got at least as many attempts as
 /// it has nodes.
-fn longest_idle_s(seen: &Observations, criteria: &VerdictCriteria) -> f64 {
+fn longest_idle_s(observed: &Observations, criteria: &VerdictCriteria) -> f64 {
     let mut longest = 0.0f64;
     for location in 0..criteria.fronts.len() {
-        let nodes = healthy_caches(seen, criteria, location);
-        let arrivals: Vec<(f64, usize, f64)> = seen
+        let nodes = healthy_caches(observed, criteria, location);
+        let arrivals: Vec<(f64, usize, f64)> = observed
             .attempts
             .iter()
             .filter(|a| {
@@ -279,10 +281,10 @@
 }
 
 /// The most fronts that call the same cache node within `HERD_WINDOW_S` after a time.
-fn most_fronts_at_a_node(seen: &Observations, at: f64) -> usize {
+fn most_fronts_at_a_node(observed: &Observations, at: f64) -> usize {
     let mut fronts: HashMap<usize, BTreeSet<usize>> = HashMap::new();
-    for a in seen.attempts.iter().filter(|a| (at..at + HERD_WINDOW_S).contains(&a.arrival.at)) {
-        if seen.nodes[a.arrival.node].cache {
+    for a in observed.attempts.iter().filter(|a| (at..at + HERD_WINDOW_S).contains(&a.arrival.at)) {
+        if observed.nodes[a.arrival.node].cache {
             fronts.entry(a.arrival.node).or_default().insert(a.arrival.front);
         }
     }
@@ -291,21 +293,21 @@
 
 /// The largest herd within 2 s after events, compared with the median of the largest herds of calm spans as
 /// long.
-fn measure_herds(seen: &Observations, criteria: &VerdictCriteria, f: &mut Figures) {
+fn measure_herds(observed: &Observations, criteria: &VerdictCriteria, f: &mut Figures) {
     let windows_from = |at: f64| (0..20).map(move |i| at + f64::from(i) * HERD_WINDOW_S);
     let is_judged = |at: &f64| (criteria.from..criteria.until).contains(at);
-    for &event in seen.events.iter().filter(|e| is_judged(e)) {
+    for &event in observed.events.iter().filter(|e| is_judged(e)) {
         f.herd = windows_from(event)
             .filter(is_judged)
-            .map(|at| most_fronts_at_a_node(seen, at))
+            .map(|at| most_fronts_at_a_node(observed, at))
             .fold(f.herd, usize::max);
     }
     let is_calm =
-        |at: &f64| is_judged(at) && seen.events.iter().all(|e| at + HERD_WINDOW_S < *e || *at > e + 10.0);
+        |at: &f64| is_judged(at) && observed.events.iter().all(|e| at + HERD_WINDOW_S < *e || *at > e + 10.0);
     let mut at = criteria.from;
     let mut calm_herds = Vec::new();
     while at < criteria.until {
-        let largest = windows_from(at).filter(is_calm).map(|at| most_fronts_at_a_node(seen, at)).max();
+        let largest = windows_from(at).filter(is_calm).map(|at| most_fronts_at_a_node(observed, at)).max();
         calm_herds.extend(largest.map(|fronts| fronts as f64));
         at += 20.0 * HERD_WINDOW_S;
     }
@@ -317,16 +319,17 @@
 }
 
 /// Compares the load of recovered nodes with that of the healthy nodes of their location.
-fn measure_recovery(seen: &Observations, criteria: &VerdictCriteria, f: &mut Figures) {
+fn measure_recovery(observed: &Observations, criteria: &VerdictCriteria, f: &mut Figures) {
     let mut sums: BTreeMap<u64, (f64, f64, f64)> = BTreeMap::new();
-    for &(node, _, recovered) in seen.troubled.iter().filter(|t| t.2 < criteria.until - RECOVERY_S - 4.0) {
-        let others = healthy_caches(seen, criteria, seen.nodes[node].location);
-        if others.is_empty() || !seen.nodes[node].cache {
+    for &(node, _, recovered) in observed.troubled.iter().filter(|t| t.2 < criteria.until - RECOVERY_S - 4.0)
+    {
+        let others = healthy_caches(observed, criteria, observed.nodes[node].location);
+        if others.is_empty() || !observed.nodes[node].cache {
             continue;
         }
         let load = |from: f64, until: f64| {
-            let total: f64 = others.iter().map(|&n| node_work(seen, n, from, until)).sum();
-            node_work(seen, node, from, until) * others.len() as f64 / total.max(1e-9)
+            let total: f64 = others.iter().map(|&n| node_work(observed, n, from, until)).sum();
+            node_work(observed, node, from, until) * others.len() as f64 / total.max(1e-9)
         };
         let after_recovery =
             load(recovered + RECOVERY_S, (recovered + RECOVERY_S + 20.0).min(criteria.until));
@@ -341,39 +344,40 @@
 }
 
 /// The time by which an answer is due; a client that reads at its own pace has no such time.
-fn answer_due(asked: &Asked, criteria: &VerdictCriteria) -> f64 {
-    let patience = if asked.paced { f64::INFINITY } else { asked.deadline };
-    asked.at + patience + criteria.answer_slack + SOCKET_SLACK_S
+fn answer_due(request: &Asked, criteria: &VerdictCriteria) -> f64 {
+    let patience = if request.paced { f64::INFINITY } else { request.deadline };
+    request.at + patience + criteria.answer_slack + SOCKET_SLACK_S
 }
 
 /// Counts what became of requests during each series of signals, and adds the violations of fronts'
 /// processes.
-fn count_cycles(seen: &Observations, criteria: &VerdictCriteria, verdict: &mut Verdict) {
-    for cycle in &seen.cycles {
+fn count_cycles(observed: &Observations, criteria: &VerdictCriteria, verdict: &mut Verdict) {
+    for cycle in &observed.cycles {
         let during = |at: f64, front: usize| {
             front == cycle.front && (cycle.from - CYCLE_LEAD_S..cycle.until + CYCLE_TAIL_S).contains(&at)
         };
         let figures = verdict.cycles.entry(cycle.series).or_default();
         figures.times += 1;
-        for asked in seen.asked.iter().filter(|a| during(a.at, a.front)) {
+        for request in observed.asked.iter().filter(|a| during(a.at, a.front)) {
             let late =
-                asked.end.is_some_and(|(at, end)| at > answer_due(asked, criteria) && end != End::Lost);
+                request.end.is_some_and(|(at, end)| at > answer_due(request, criteria) && end != End::Lost);
             figures.asked += 1;
-            figures.lost += usize::from(!asked.excused && matches!(asked.end, None | Some((_, End::Lost))));
-            figures.duplicated += usize::from(asked.again > 0);
+            figures.lost +=
+                usize::from(!request.excused && matches!(request.end, None | Some((_, End::Lost))));
+            figures.duplicated += usize::from(request.again > 0);
             figures.late += usize::from(late);
         }
-        figures.refused_connections += seen.refused.iter().filter(|r| during(r.0, r.1)).count();
-        figures.wrong_ends += seen.ends.iter().filter(|e| during(e.0, e.1)).count();
+        figures.refused_connections += observed.refused.iter().filter(|r| during(r.0, r.1)).count();
+        figures.wrong_ends += observed.ends.iter().filter(|e| during(e.0, e.1)).count();
     }
-    let since = |at: f64| at - seen.began;
-    for (at, front, what) in &seen.ends {
+    let since = |at: f64| at - observed.began;
+    for (at, front, what) in &observed.ends {
         verdict.add_violation(
             "a process ends and starts as it is told",
             format!("front {front} at {:.2} s: {what}", since(*at)),
         );
     }
-    for (at, front) in &seen.refused {
+    for (at, front) in &observed.refused {
         let example = format!("front {front} at {:.2} s", since(*at));
         verdict.add_violation("a process takes connections as long as the platform sends some", example);
     }
--- a/crates/lab/src/fleet/verdict/rules.rs
+++ b/crates/lab/src/fleet/verdict/rules.rs
@@ -16,39 +16,39 @@
 type NotifiedStates = Vec<(f64, u8)>;
 
 /// Adds the violations of the rules, and the figures that belong to them.
-pub(super) fn check(seen: &Observations, criteria: &VerdictCriteria, verdict: &mut Verdict) {
-    for asked in &seen.asked {
-        check_answer(asked, seen, criteria, verdict);
-        check_purges(asked, seen, criteria, verdict);
+pub(super) fn check(observed: &Observations, criteria: &VerdictCriteria, verdict: &mut Verdict) {
+    for request in &observed.asked {
+        check_answer(request, observed, criteria, verdict);
+        check_purges(request, observed, criteria, verdict);
     }
-    for _ in 0..seen.unheard {
+    for _ in 0..observed.unheard {
         verdict.add_violation("operators are answered within 1 s", "a cordon without a yes".into());
     }
-    check_keyed_attempts(seen, verdict);
-    check_drains(seen, criteria, verdict);
-    check_starts(seen, verdict);
-    let mean_work = mean_work(seen);
-    for &(node, started) in &seen.cold {
-        check_cold_node(ColdStart { node, started, mean_work }, seen, criteria, verdict);
+    check_keyed_attempts(observed, verdict);
+    check_drains(observed, criteria, verdict);
+    check_starts(observed, verdict);
+    let mean_work = mean_work(observed);
+    for &(node, started) in &observed.cold {
+        check_cold_node(ColdStart { node, started, mean_work }, observed, criteria, verdict);
     }
 }
 
 /// Describes a request as the example of a violation.
-fn request_example(asked: &Asked, seen: &Observations, why: &str) -> String {
-    format!("{why}, asked of front {} at {:.2} s", asked.front, asked.at - seen.began)
+fn request_example(request: &Asked, observed: &Observations, why: &str) -> String {
+    format!("{why}, asked of front {} at {:.2} s", request.front, request.at - observed.began)
 }
 
-fn check_answer(asked: &Asked, seen: &Observations, criteria: &VerdictCriteria, verdict: &mut Verdict) {
-    let example = |why: &str| request_example(asked, seen, why);
-    if asked.again > 0 {
+fn check_answer(request: &Asked, observed: &Observations, criteria: &VerdictCriteria, verdict: &mut Verdict) {
+    let example = |why: &str| request_example(request, observed, why);
+    if request.again > 0 {
         verdict.add_violation("one final answer", example("answered twice"));
     }
-    if asked.spoilt {
+    if request.spoilt {
         verdict.add_violation("whole and unchanged", example("bytes of another object"));
     }
-    let due = answer_due(asked, criteria);
-    match asked.end {
-        _ if asked.excused => {}
+    let due = answer_due(request, criteria);
+    match request.end {
+        _ if request.excused => {}
         Some((at, End::Served | End::Refused | End::Failed)) if at > due => {
             let late_ms = (at - due) * 1000.0;
             verdict.add_violation("one final answer", example(&format!("{late_ms:.0} ms late")));
@@ -58,19 +58,19 @@
     }
 }
 
-fn check_purges(asked: &Asked, seen: &Observations, criteria: &VerdictCriteria, verdict: &mut Verdict) {
-    for purged in seen.purged.iter().filter(|purged| **purged + criteria.purge_slack < asked.at) {
-        if asked.made.is_some_and(|made| made + COPY_TIME_PRECISION < *purged) {
-            let example = request_example(asked, seen, "an old copy");
+fn check_purges(request: &Asked, observed: &Observations, criteria: &VerdictCriteria, verdict: &mut Verdict) {
+    for purged in observed.purged.iter().filter(|purged| **purged + criteria.purge_slack < request.at) {
+        if request.made.is_some_and(|made| made + COPY_TIME_PRECISION < *purged) {
+            let example = request_example(request, observed, "an old copy");
             verdict.add_violation("no copy from before a purge", example);
         }
     }
 }
 
 /// Two attempts of a keyed request are never in flight at once.
-fn check_keyed_attempts(seen: &Observations, verdict: &mut Verdict) {
+fn check_keyed_attempts(observed: &Observations, verdict: &mut Verdict) {
     let mut keys: HashMap<u64, Vec<&Attempt>> = HashMap::new();
-    for attempt in &seen.attempts {
+    for attempt in &observed.attempts {
         attempt.arrival.key.into_iter().for_each(|key| keys.entry(key).or_default().push(attempt));
     }
     for (key, attempts) in keys {
@@ -87,20 +87,20 @@
 }
 
 /// Each front is judged by its own notifications and their times: two fronts may have different lists.
-fn check_drains(seen: &Observations, criteria: &VerdictCriteria, verdict: &mut Verdict) {
+fn check_drains(observed: &Observations, criteria: &VerdictCriteria, verdict: &mut Verdict) {
     let mut states_by_node: HashMap<(usize, Option<usize>), NotifiedStates> = HashMap::new();
-    for notification in &seen.told {
+    for notification in &observed.told {
         let states = states_by_node.entry((notification.node, notification.front)).or_default();
         states.push((notification.at, notification.state));
     }
     states_by_node.values_mut().for_each(|states| states.sort_by(|a, b| a.0.total_cmp(&b.0)));
-    for Attempt { arrival, .. } in &seen.attempts {
+    for Attempt { arrival, .. } in &observed.attempts {
         for front in [None, Some(arrival.front)] {
             let Some(states) = states_by_node.get(&(arrival.node, front)) else { continue };
             let unready_since = unready_since(states, arrival.at);
             if unready_since.is_some_and(|since| arrival.at >= since + criteria.drain_grace + SOCKET_SLACK_S)
             {
-                let at = arrival.at - seen.began;
+                let at = arrival.at - observed.began;
                 let example = format!("front {} to node {} at {at:.2} s", arrival.front, arrival.node);
                 verdict.add_violation("nothing new to a draining node", example);
             }
@@ -116,8 +116,8 @@
 }
 
 /// Restarted fronts are ready in time.
-fn check_starts(seen: &Observations, verdict: &mut Verdict) {
-    let mut ready = seen.ready.clone();
+fn check_starts(observed: &Observations, verdict: &mut Verdict) {
+    let mut ready = observed.ready.clone();
     ready.sort_by(f64::total_cmp);
     let p90_rank = (ready.len() * 9).div_ceil(10);
     verdict.figures.ready_s = ready.get(p90_rank.saturating_sub(1)).copied();
@@ -133,8 +133,8 @@
 }
 
 /// The mean work of the attempts at cache nodes.
-fn mean_work(seen: &Observations) -> f64 {
-    let at_caches = seen.attempts.iter().filter(|attempt| seen.nodes[attempt.arrival.node].cache);
+fn mean_work(observed: &Observations) -> f64 {
+    let at_caches = observed.attempts.iter().filter(|attempt| observed.nodes[attempt.arrival.node].cache);
     let works = at_caches.map(|attempt| attempt.arrival.work);
     works.clone().sum::<f64>() / works.count().max(1) as f64
 }
@@ -148,12 +148,17 @@
 
 /// A cold node gets no more than it can take in any window. Only its first excess beyond chance is a
 /// violation.
-fn check_cold_node(start: ColdStart, seen: &Observations, criteria: &VerdictCriteria, verdict: &mut Verdict) {
+fn check_cold_node(
+    start: ColdStart,
+    observed: &Observations,
+    criteria: &VerdictCriteria,
+    verdict: &mut Verdict,
+) {
     let ColdStart { node, started, mean_work } = start;
     let cold = criteria.cold;
     let share = |at: f64| (cold.from + (1.0 - cold.from) * (at - started) / cold.time).min(1.0);
     let span = started..started + cold.time;
-    let arrivals: Vec<(f64, f64)> = seen
+    let arrivals: Vec<(f64, f64)> = observed
         .attempts
         .iter()
         .filter(|attempt| attempt.arrival.node == node && span.contains(&attempt.arrival.at))
@@ -163,13 +168,13 @@
     for (last, &(at, _)) in arrivals.iter().enumerate() {
         let in_window = arrivals[..=last].iter().rev().take_while(|attempt| attempt.0 > at - cold.window);
         let sent: f64 = in_window.map(|attempt| attempt.1).sum();
-        let allowed = cold.multiple * share(at) * seen.nodes[node].link * cold.window / mean_work;
+        let allowed = cold.multiple * share(at) * observed.nodes[node].link * cold.window / mean_work;
         let over = sent / mean_work - allowed;
         let excess = &mut verdict.figures.cold_excess;
         *excess = Some(excess.unwrap_or(f64::MIN).max(over / allowed.sqrt()));
         if !is_overloaded && over > CHANCE_ROOT_MULTIPLE * allowed.sqrt() + CHANCE_EXTRA_CALLS {
             is_overloaded = true;
-            let (calls, at) = (sent / mean_work, at - seen.began);
+            let (calls, at) = (sent / mean_work, at - observed.began);
             let example =
                 format!("node {node} got {calls:.1} calls of mean work for {allowed:.1} at {at:.2} s");
             verdict.add_violation("no cold node pushed over", example);
--- a/crates/lab/src/fleet/verdict/tests.rs
+++ b/crates/lab/src/fleet/verdict/tests.rs
@@ -8,8 +8,8 @@
 fn undisturbed() -> (Observations, VerdictCriteria) {
     let node = NodeInfo { location: 0, link: 4.0, cache: true };
     let above = NodeInfo { cache: false, ..node };
-    let mut seen = Observations::new(vec![node, node, above]);
-    seen.began = 1000.0;
+    let mut observed = Observations::new(vec![node, node, above]);
+    observed.began = 1000.0;
     for i in 0..200 {
         let at = 1000.0 + f64::from(i) * 0.1;
         let (node, front) = (i as usize % 2, i as usize % 3);
@@ -24,11 +24,11 @@
             filled: false,
             origin: false,
         };
-        seen.attempts.push(Attempt { arrival, ended: Some(at + 0.1) });
+        observed.attempts.push(Attempt { arrival, ended: Some(at + 0.1) });
         let end = Some((at + 0.1, End::Served));
         let (aim, deadline, made) = (0.5, 3.0, Some(at));
         let (again, spoilt, excused, paced, object) = (0, false, false, false, 7);
-        seen.asked.push(Asked {
+        observed.asked.push(Asked {
             at,
             front,
             sent_on: None,
@@ -43,7 +43,7 @@
             paced,
         });
     }
-    (0..2).for_each(|n| seen.done[n] = vec![0.1; 40]);
+    (0..2).for_each(|n| observed.done[n] = vec![0.1; 40]);
     let criteria = VerdictCriteria {
         from: 1000.0,
         until: 1020.0,
@@ -54,13 +54,13 @@
         fronts: vec![3],
         bounds: Bounds { served: Some(0.95), most: Some(1.2), least: Some(0.8), ..Bounds::default() },
     };
-    (seen, criteria)
+    (observed, criteria)
 }
 
 fn judge_changed(change: impl Fn(&mut Observations)) -> Verdict {
-    let (mut seen, criteria) = undisturbed();
-    change(&mut seen);
-    judge(&seen, &criteria)
+    let (mut observed, criteria) = undisturbed();
+    change(&mut observed);
+    judge(&observed, &criteria)
 }
 
 #[test]
@@ -196,16 +196,16 @@
 #[test]
 fn losses_count_towards_their_fronts_series_of_signals_only() {
     let cycle = |front, from, series| Cycle { front, from, until: from + 4.0, series };
-    let v = judge_changed(|seen| {
-        seen.cycles.push(cycle(1, 1006.0, SignalSeries::Term));
-        seen.cycles.push(cycle(2, 1006.0, SignalSeries::Replaced));
+    let v = judge_changed(|observed| {
+        observed.cycles.push(cycle(1, 1006.0, SignalSeries::Term));
+        observed.cycles.push(cycle(2, 1006.0, SignalSeries::Replaced));
         let place = |front: usize, at: f64| move |a: &Asked| a.front == front && a.at > at;
-        let lost = seen.asked.iter().position(place(1, 1007.0)).unwrap();
-        seen.asked[lost].end = Some((1008.0, End::Lost));
-        let twice = seen.asked.iter().position(place(2, 1007.0)).unwrap();
-        seen.asked[twice].again = 1;
-        seen.refused.push((1006.2, 1));
-        seen.ends.push((1009.0, 2, "exit 1".into()));
+        let lost = observed.asked.iter().position(place(1, 1007.0)).unwrap();
+        observed.asked[lost].end = Some((1008.0, End::Lost));
+        let twice = observed.asked.iter().position(place(2, 1007.0)).unwrap();
+        observed.asked[twice].again = 1;
+        observed.refused.push((1006.2, 1));
+        observed.ends.push((1009.0, 2, "exit 1".into()));
     });
     let (term, replaced) = (v.cycles[&SignalSeries::Term], v.cycles[&SignalSeries::Replaced]);
     assert_eq!((term.times, term.lost, term.duplicated, term.refused_connections), (1, 1, 0, 1));
