--- a/crates/lab/src/fleet/clients.rs
+++ b/crates/lab/src/fleet/clients.rs
@@ -1,5 +1,5 @@
-//! Clients of a fleet: they ask whether or not they were answered, each by its front's connection, and go to another
-//! front of the location once they notice that theirs is gone.
+//! Clients of a fleet: they ask whether or not they were answered, each by its front's connection, and go to
+//! another front of the location once they notice that theirs is gone.
 
 use super::fronts::Front;
 use super::plan::Plan;
@@ -20,32 +20,36 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// A request that crosses the close of its connection was sent so much before it at most, and is sent again, once
-/// (seconds; the platform's). This rig sees the close as late as it is otherwise, which is measured and added.
-const CROSSED: f64 = 0.05;
-/// A connection has so many requests open at most.
-const OPEN: usize = 30;
-/// Classes: name, deadline, aim beyond the sending time, its multiple (seconds; as in the example's settings).
+/// A request that was sent this shortly before its connection closed is retried once, as on the platform
+/// (seconds). The measured lateness of this program is added, since it sees the close that much later.
+const CLOSE_RACE_S: f64 = 0.05;
+/// Limit of the requests in flight on a connection.
+const MAX_IN_FLIGHT: usize = 30;
+/// Classes as in the example settings: name, deadline (seconds), base of the aim (seconds), and the multiple
+/// of the sending time that is added to the base.
 const MEDIA: (&str, f64, f64, f64) = ("media", 5.0, 0.5, 1.6);
 const HOLDS: (&str, f64, f64, f64) = ("holds", 3.0, 0.6, 0.0);
 
-/// By tag: the place in the record, and whether it was sent again.
-type Line = ClientConnection<(usize, bool)>;
+/// A client's connection. For each tag in flight it holds the index in the record and whether this is a
+/// retry.
+type Connection = ClientConnection<(usize, bool)>;
 
-/// All clients of a fleet.
+/// The clients of all fronts of a fleet.
 pub struct Clients {
     plan: Plan,
     tier: Arc<Tier>,
     book: Arc<EventLog>,
     fronts: Vec<Rc<Front>>,
-    lines: RefCell<Vec<Vec<Rc<Line>>>>,
+    /// The open connections of each front.
+    connections: RefCell<Vec<Vec<Rc<Connection>>>>,
     random: RefCell<SmallRng>,
     popularity: Zipf<f64>,
     running: Cell<bool>,
-    /// Load in times the usual, and the share that one object has.
+    /// Multiple of the planned request rate.
     pub load: Cell<f64>,
+    /// Share of the requests that ask for one single object.
     pub hot: Cell<f64>,
-    calls: Cell<u64>,
+    next_call: Cell<u64>,
 }
 
 impl Clients {
@@ -59,7 +63,7 @@
         let c = &plan.clients;
         Rc::new(Clients {
             popularity: Zipf::new(c.objects as f64, c.zipf).expect("checked with the plan"),
-            lines: RefCell::new(vec![Vec::new(); fronts.len()]),
+            connections: RefCell::new(vec![Vec::new(); fronts.len()]),
             plan: plan.clone(),
             tier,
             book,
@@ -68,34 +72,36 @@
             running: Cell::new(true),
             load: Cell::new(1.0),
             hot: Cell::new(0.0),
-            calls: Cell::new(1),
+            next_call: Cell::new(1),
         })
     }
 
+    /// Starts the arrivals of requests at every front.
     pub fn start(self: &Rc<Self>) {
         for front in 0..self.fronts.len() {
-            spawn_local(self.clone().arrivals(front));
+            spawn_local(self.clone().run_arrivals(front));
         }
     }
 
-    /// Nothing more is asked.
+    /// Stops the arrivals of new requests.
     pub fn stop(&self) {
         self.running.set(false);
     }
 
-    /// What is open at a front is not the front's to answer any more: it was killed, or stands still.
-    pub fn excuse(&self, front: usize) {
-        let lines = self.lines.borrow();
+    /// Marks the requests in flight at a front as excused, since it was killed or stopped.
+    pub fn excuse_in_flight(&self, front: usize) {
+        let connections = self.connections.borrow();
         let mut seen = self.book.open();
         for (place, _) in
-            lines[front].iter().flat_map(|l| l.open.borrow().values().copied().collect::<Vec<_>>())
+            connections[front].iter().flat_map(|c| c.open.borrow().values().copied().collect::<Vec<_>>())
         {
             seen.asked[place].excused = true;
         }
     }
 
-    /// The requests of one front's clients, at times drawn ahead.
-    async fn arrivals(self: Rc<Self>, front: usize) {
+    /// Sends the requests of one front's clients as a Poisson process, whether or not earlier ones were
+    /// answered.
+    async fn run_arrivals(self: Rc<Self>, front: usize) {
         let rate = self.plan.rate(front);
         let mut at = Instant::now();
         while self.running.get() {
@@ -109,24 +115,26 @@
                 return;
             }
             self.book.open().late.saturating_record(at.elapsed().as_micros() as u64);
-            spawn_local(self.clone().ask(front));
+            spawn_local(self.clone().send_new(front));
         }
     }
 
-    fn draw(&self) -> (bool, u64) {
+    /// Draws the class of a request (whether it is `holds`) and its object.
+    fn draw_request(&self) -> (bool, u64) {
         let mut random = self.random.borrow_mut();
         let holds = random.random_bool(self.plan.clients.holds);
         let hot = self.hot.get() > 0.0 && random.random_bool(self.hot.get());
         let number =
             if hot { self.plan.clients.objects + 1 } else { self.popularity.sample(&mut *random) as u64 };
-        // Sizes differ by name: most are small, some several times the mean.
+        // Each object has a fixed size; most are small, some are several times the mean.
         let unit = (number.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 11) as f64 / (1u64 << 53) as f64;
         let size = if hot { 1.0 } else { 0.3 - (1.0 - unit).max(1e-6).ln() * 0.7 };
         (holds, object(number, self.plan.work() * size))
     }
 
-    async fn ask(self: Rc<Self>, front: usize) {
-        let (holds, object) = self.draw();
+    /// Records a new request of a front's clients and sends it.
+    async fn send_new(self: Rc<Self>, front: usize) {
+        let (holds, object) = self.draw_request();
         let (_, deadline, aim, stretch) = if holds { HOLDS } else { MEDIA };
         let place = {
             let asked = &mut self.book.open().asked;
@@ -149,15 +157,15 @@
         self.send(front, place, holds, false).await;
     }
 
-    /// Sends it on a connection of its front, or, where that is gone, of another of the location.
+    /// Sends a request to its front or, if that is not reachable, to another front of the location.
     async fn send(self: Rc<Self>, front: usize, place: usize, holds: bool, again: bool) {
         let mut at = front;
         for _ in 0..4 {
             let there = &self.fronts[at];
             if there.address.get().is_some() || there.lingers.get() {
-                match self.line(at, again).await {
-                    Ok(line) => return self.send_on(at, &line, place, holds, again).await,
-                    Err(e) if e.kind() == io::ErrorKind::ConnectionRefused => self.was_refused(at),
+                match self.connection(at, again).await {
+                    Ok(connection) => return self.send_on(at, &connection, place, holds, again).await,
+                    Err(e) if e.kind() == io::ErrorKind::ConnectionRefused => self.record_refusal(at),
                     Err(_) => {}
                 }
             }
@@ -176,9 +184,9 @@
         self.book.open().asked[place].end = Some((self.tier.unix(), End::Unreached));
     }
 
-    /// A front took no connection. That is its fault where a process of it should be there: not once it is told to end, nor
-    /// after the rig has killed it, nor where its new program is one that ends by itself.
-    fn was_refused(&self, front: usize) {
+    /// Records a refused connection if a process of the front should have accepted it: not after SIGTERM, not
+    /// after the test has killed it, and not if the rollout's new program is one that crashes.
+    fn record_refusal(&self, front: usize) {
         let there = &self.fronts[front];
         let crashes = self.plan.rollout.as_ref().is_some_and(|rollout| rollout.crashes);
         let killed = there.kills.get() != there.answered_after.get();
@@ -187,16 +195,18 @@
         }
     }
 
-    async fn send_on(&self, front: usize, line: &Line, place: usize, holds: bool, again: bool) {
-        let tag = line.fresh_tag();
-        let call = self.calls.replace(self.calls.get() + 1);
+    /// Sends a recorded request on this connection.
+    async fn send_on(&self, front: usize, connection: &Connection, place: usize, holds: bool, again: bool) {
+        let tag = connection.fresh_tag();
+        let call = self.next_call.replace(self.next_call.get() + 1);
         let (object, deadline) = {
             let mut seen = self.book.open();
-            // The time of a request counts from its last byte.
+            // The latency of a request is measured from its last byte.
             let now = self.tier.unix();
             seen.asked[place].at = now;
-            let made = now - line.made.elapsed().as_secs_f64();
-            seen.asked[place].sent_on = Some(SentOn { front, port: line.local_port, made, closed: None });
+            let made = now - connection.made.elapsed().as_secs_f64();
+            seen.asked[place].sent_on =
+                Some(SentOn { front, port: connection.local_port, made, closed: None });
             (seen.asked[place].object, seen.asked[place].deadline)
         };
         let (class, ..) = if holds { HOLDS } else { MEDIA };
@@ -207,54 +217,67 @@
             object >> 20 & 0xff
         );
         if holds {
-            // The same for all tries of one request.
+            // All tries of one request share the deduplication key.
             fields += &format!(",dedupe={:032x}", place as u64 + 1);
         }
         let tag_text = tag.to_string();
         let words = ["REQ", &tag_text, class, &fields, ""];
         let mut out = format!("*{}\r\n", words.len());
         words.iter().for_each(|w| out += &format!("${}\r\n{w}\r\n", w.len()));
-        line.open.borrow_mut().insert(tag, (place, again));
-        let _ = line.write.lock().await.write_all(out.as_bytes()).await;
+        connection.open.borrow_mut().insert(tag, (place, again));
+        let _ = connection.write.lock().await.write_all(out.as_bytes()).await;
     }
 
-    /// Has a connection room, and is it still to be used? Clients use their connections to the kill, but for those that read
-    /// at a pace of their own: they do not see an end in time, and send as long as the platform says.
-    fn usable(&self, front: usize, line: &Line) -> bool {
-        let closing = self.fronts[front].terminations.end_requests(line.made, std::time::Instant::now());
-        let patient = self.plan.clients.pace.is_none() || !closing;
-        patient && !line.ended.get() && line.open.borrow().len() < OPEN
+    /// Returns whether a connection may take another request. Clients use a connection until it closes.
+    /// Clients that read slowly don't see the close in time, so they stop at the time that the platform sets.
+    fn is_usable(&self, front: usize, connection: &Connection) -> bool {
+        let closing =
+            self.fronts[front].terminations.end_requests(connection.made, std::time::Instant::now());
+        let may_send = self.plan.clients.pace.is_none() || !closing;
+        may_send && !connection.ended.get() && connection.open.borrow().len() < MAX_IN_FLIGHT
     }
 
-    /// A connection of a front with room, or a new one.
-    async fn line(self: &Rc<Self>, front: usize, new: bool) -> io::Result<Rc<Line>> {
-        let usable = |l: &&Rc<Line>| self.usable(front, l);
+    /// Returns a usable connection of a front, or a new one.
+    async fn connection(self: &Rc<Self>, front: usize, new: bool) -> io::Result<Rc<Connection>> {
+        let usable = |c: &&Rc<Connection>| self.is_usable(front, c);
         let may_open = self.fronts[front].address.get().is_some();
-        let lines: Vec<Rc<Line>> = self.lines.borrow()[front].iter().filter(usable).cloned().collect();
-        if !new && !lines.is_empty() && (lines.len() >= self.plan.clients.connections || !may_open) {
-            // One connection that has room is used before a second, unless several are kept.
+        let connections: Vec<Rc<Connection>> =
+            self.connections.borrow()[front].iter().filter(usable).cloned().collect();
+        if !new
+            && !connections.is_empty()
+            && (connections.len() >= self.plan.clients.connections || !may_open)
+        {
+            // The first usable connection takes the request, unless the plan has several connections per
+            // front.
             let several = self.plan.clients.connections > 1;
-            let drawn = if several { self.random.borrow_mut().random_range(0..lines.len()) } else { 0 };
-            return Ok(lines[drawn].clone());
+            let drawn = if several { self.random.borrow_mut().random_range(0..connections.len()) } else { 0 };
+            return Ok(connections[drawn].clone());
         }
         let address = self.fronts[front].address.get().ok_or(io::ErrorKind::NotConnected)?;
         let kills = self.fronts[front].kills.get();
-        let (line, read) = Line::connect(address, self.plan.clients.pace).await?;
-        self.lines.borrow_mut()[front].push(line.clone());
-        spawn_local(self.clone().read(front, read, line.clone(), kills));
-        Ok(line)
+        let (connection, read) = Connection::connect(address, self.plan.clients.pace).await?;
+        self.connections.borrow_mut()[front].push(connection.clone());
+        spawn_local(self.clone().read_answers(front, read, connection.clone(), kills));
+        Ok(connection)
     }
 
-    /// Reads answers until the connection ends, which was made after so many kills.
-    async fn read(self: Rc<Self>, front: usize, read: PacedReader, line: Rc<Line>, kills: u32) {
+    /// Reads answers until the connection closes, then retries or records as lost what is still in flight.
+    /// `kills` is the front's count of kills when the connection was opened.
+    async fn read_answers(
+        self: Rc<Self>,
+        front: usize,
+        read: PacedReader,
+        connection: Rc<Connection>,
+        kills: u32,
+    ) {
         let mut read = BufReader::new(read);
         while let Ok([tag, word, _, body]) = answer(&mut read).await {
             let tag = std::str::from_utf8(&tag).ok().and_then(|t| t.parse::<u64>().ok());
             self.fronts[front].answered_after.set(kills);
             let now = self.tier.unix();
             let mut seen = self.book.open();
-            let Some((place, _)) = tag.and_then(|t| line.open.borrow_mut().remove(&t)) else {
-                // A second answer, or one to nothing.
+            let Some((place, _)) = tag.and_then(|t| connection.open.borrow_mut().remove(&t)) else {
+                // A duplicate answer, or one without a request.
                 if let Some(last) = seen.asked.last_mut() {
                     last.again += 1;
                 }
@@ -277,18 +300,18 @@
             asked.again += u32::from(asked.end.is_some());
             asked.end.get_or_insert((now, end));
         }
-        line.ended.set(true);
-        self.lines.borrow_mut()[front].retain(|l| !Rc::ptr_eq(l, &line));
-        for (_, (place, again)) in line.open.take() {
+        connection.ended.set(true);
+        self.connections.borrow_mut()[front].retain(|c| !Rc::ptr_eq(c, &connection));
+        for (_, (place, again)) in connection.open.take() {
             let now = self.tier.unix();
-            let closed = now - line.since_end().as_secs_f64();
-            let (holds, crossed) = {
+            let closed = now - connection.since_end().as_secs_f64();
+            let (holds, raced_close) = {
                 let seen = self.book.open();
                 let a = &seen.asked[place];
                 let rig_late = seen.late.value_at_quantile(0.99) as f64 / 1e6;
-                (a.deadline == HOLDS.1, (closed - a.at).abs() < CROSSED + rig_late && !again)
+                (a.deadline == HOLDS.1, (closed - a.at).abs() < CLOSE_RACE_S + rig_late && !again)
             };
-            if crossed {
+            if raced_close {
                 spawn_local(self.clone().send(front, place, holds, true));
             } else {
                 let asked = &mut self.book.open().asked[place];
--- a/crates/lab/src/fleet/cycle.rs
+++ b/crates/lab/src/fleet/cycle.rs
@@ -1,8 +1,9 @@
-//! Ends and starts of a front's processes: series of signals, the kill as early as the platform may, and what follows.
+//! Process cycles of a front: signal series, SIGKILL at the earliest time that the platform may send it, and
+//! the start of a successor.
 
 use super::Fleet;
-use super::faults::{BESIDE, COMING};
-use super::fronts::send;
+use super::faults::{COMING, OVERLAP_S};
+use super::fronts::send_signal;
 use super::plan::SignalSeries;
 use super::record::Cycle;
 use nix::sys::signal::Signal;
@@ -13,13 +14,13 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
-/// SIGKILL comes no sooner than this after SIGTERM: the longest deadline, counted as 3 s where it is longer, and 0.7 s.
+/// SIGKILL follows SIGTERM no earlier than this: the longest deadline, capped at 3 s, plus 0.7 s.
 const EARLIEST_KILL: Duration = Duration::from_millis(3_700);
-/// Settings that were read again are left as they are for so long (seconds).
-const RELOADED: f64 = 0.3;
+/// Time between the last reload of the settings and the check that the process still runs (seconds).
+const RELOAD_SETTLE_S: f64 = 0.3;
 
 impl Fleet {
-    /// Cycles these fronts one after the other, evenly over the span.
+    /// Runs the signal series on these fronts, starting them at even intervals over the span.
     pub async fn cycle_each(
         self: &Rc<Self>,
         fronts: &[usize],
@@ -27,18 +28,19 @@
         gap_s: f64,
         span: Duration,
     ) {
-        let between = span / fronts.len().max(1) as u32;
+        let interval = span / fronts.len().max(1) as u32;
         for &front in fronts {
             let fleet = self.clone();
-            spawn_local(async move { fleet.cycle(front, series, Duration::from_secs_f64(gap_s)).await });
-            sleep(between).await;
+            spawn_local(async move { fleet.run_series(front, series, Duration::from_secs_f64(gap_s)).await });
+            sleep(interval).await;
         }
     }
 
-    async fn cycle(self: Rc<Self>, front: usize, series: SignalSeries, gap: Duration) {
-        let _turn = self.fronts[front].cycle_turn.lock().await;
+    /// Runs one signal series on a front once the series before it is over, and records its time span.
+    async fn run_series(self: Rc<Self>, front: usize, series: SignalSeries, gap: Duration) {
+        let _cycle_lock = self.fronts[front].cycle_turn.lock().await;
         let from = self.tier.unix();
-        let place = {
+        let index = {
             let mut seen = self.book.open();
             seen.cycles.push(Cycle { front, from, until: f64::MAX, series });
             seen.cycles.len() - 1
@@ -52,7 +54,7 @@
                 self.fronts[front].signal(Signal::SIGHUP);
                 self.restart(front, &[], gap).await;
             }
-            SignalSeries::SuccessorInTerm => self.succeed_while_closing(front, gap).await,
+            SignalSeries::SuccessorInTerm => self.start_successor_while_closing(front, gap).await,
             SignalSeries::Replaced => self.replace(front, &[], gap).await,
             SignalSeries::ReplacedTermTwice => self.replace(front, &[Signal::SIGTERM], gap).await,
             SignalSeries::SuccessorInHangup => {
@@ -61,119 +63,125 @@
                 self.replace(front, &[], gap).await;
             }
             SignalSeries::TermBeforeReady => {
-                self.end_before_ready(front, gap).await;
+                self.end_successor_before_ready(front, gap).await;
                 self.restart(front, &[], gap).await;
             }
-            SignalSeries::Hangups => self.hangups(front, gap).await,
+            SignalSeries::Hangups => self.reload_repeatedly(front, gap).await,
         }
-        self.book.open().cycles[place].until = self.tier.unix();
+        self.book.open().cycles[index].until = self.tier.unix();
     }
 
-    /// Ends a front's process; another starts once that is gone.
+    /// Ends a front's process, and starts a successor once it has exited.
     async fn restart(self: &Rc<Self>, front: usize, further: &[Signal], gap: Duration) {
         let child = self.fronts[front].take_process();
         self.fronts[front].lingers.set(true);
-        let closed = spawn_local(self.clone().no_new_clients(front));
-        self.end(front, child, further, gap).await;
+        let closed = spawn_local(self.clone().stop_new_connections(front));
+        self.terminate(front, child, further, gap).await;
         let _ = closed.await;
         self.fronts[front].lingers.set(false);
-        self.start(front).await;
+        self.start_successor(front).await;
     }
 
-    /// Ends a front's process; another starts while that closes.
-    async fn succeed_while_closing(self: &Rc<Self>, front: usize, gap: Duration) {
+    /// Ends a front's process, and starts a successor while the old process is closing.
+    async fn start_successor_while_closing(self: &Rc<Self>, front: usize, gap: Duration) {
         let child = self.fronts[front].take_process();
         self.fronts[front].lingers.set(true);
         let fleet = self.clone();
-        let ended = spawn_local(async move { fleet.end(front, child, &[], Duration::ZERO).await });
-        let closed = spawn_local(self.clone().no_new_clients(front));
+        let ended = spawn_local(async move { fleet.terminate(front, child, &[], Duration::ZERO).await });
+        let closed = spawn_local(self.clone().stop_new_connections(front));
         sleep(gap).await;
-        // New clients come again only once the successor takes them.
+        // Clients open connections again only once the successor accepts them.
         let _ = closed.await;
-        self.start(front).await;
+        self.start_successor(front).await;
         let _ = ended.await;
         self.fronts[front].lingers.set(false);
     }
 
-    /// Starts another process beside a front's first, which is told to end once the other is ready.
+    /// Starts a successor beside a front's process, which is ended once the successor is ready.
     async fn replace(self: &Rc<Self>, front: usize, further: &[Signal], gap: Duration) {
         let child = self.fronts[front].take_process();
-        self.start(front).await;
-        sleep(Duration::from_secs_f64(BESIDE)).await;
-        self.end(front, child, further, gap).await;
+        self.start_successor(front).await;
+        sleep(Duration::from_secs_f64(OVERLAP_S)).await;
+        self.terminate(front, child, further, gap).await;
     }
 
-    /// Starts another process beside a front's first, and ends it before it is ready.
-    async fn end_before_ready(self: &Rc<Self>, front: usize, gap: Duration) {
+    /// Starts a second process beside a front's process, and ends the second before it is ready.
+    async fn end_successor_before_ready(self: &Rc<Self>, front: usize, gap: Duration) {
         match self.fronts[front].spawn(Stdio::null()) {
             Ok(child) => {
                 sleep(gap).await;
-                self.end_early(front, child).await;
+                self.terminate_unready(front, child).await;
             }
-            Err(e) => self.note_end(front, format!("another process did not start: {e}")),
+            Err(e) => self.record_wrong_end(front, format!("the successor failed to start: {e}")),
         }
     }
 
-    /// Has a front's process read an unusable file, a usable one, and that twice more.
-    async fn hangups(&self, front: usize, gap: Duration) {
+    /// Has a front's process reload an unusable settings file, then a usable one three times.
+    async fn reload_repeatedly(&self, front: usize, gap: Duration) {
         for usable in [false, true, true, true] {
             self.fronts[front].reload(usable);
             sleep(gap).await;
         }
-        sleep(Duration::from_secs_f64(RELOADED)).await;
-        if !self.fronts[front].runs() {
-            self.note_end(front, "it ended by itself after SIGHUP".into());
+        sleep(Duration::from_secs_f64(RELOAD_SETTLE_S)).await;
+        if !self.fronts[front].is_running() {
+            self.record_wrong_end(front, "it ended by itself after SIGHUP".into());
         }
     }
 
-    /// New connections come for a while after a front was told to end.
-    async fn no_new_clients(self: Rc<Self>, front: usize) {
+    /// Lets clients open connections for a while after a front's SIGTERM, and stops them then.
+    async fn stop_new_connections(self: Rc<Self>, front: usize) {
         sleep(Duration::from_secs_f64(COMING)).await;
         self.fronts[front].address.set(None);
     }
 
-    /// SIGTERM, then what comes further, then SIGKILL as early as it may come.
-    async fn end(&self, front: usize, child: Option<Child>, further: &[Signal], gap: Duration) {
+    /// Sends SIGTERM, then the further signals, then SIGKILL at its earliest time, and records an unexpected
+    /// exit.
+    async fn terminate(&self, front: usize, child: Option<Child>, further: &[Signal], gap: Duration) {
         let Some(mut child) = child else {
-            return self.note_end(front, "it had no process".into());
+            return self.record_wrong_end(front, "it had no process".into());
         };
         if !matches!(child.try_wait(), Ok(None)) {
-            return self.note_end(front, "it ended by itself".into());
+            return self.record_wrong_end(front, "it ended by itself".into());
         }
-        send(&child, Signal::SIGTERM);
+        send_signal(&child, Signal::SIGTERM);
         self.fronts[front].terminations.note(std::time::Instant::now());
         let kill_at = Instant::now() + EARLIEST_KILL;
-        for &more in further {
+        for &signal in further {
             sleep(gap).await;
-            send(&child, more);
+            send_signal(&child, signal);
         }
         match timeout_at(kill_at, child.wait()).await {
             Ok(Ok(status)) if status.success() => {}
-            Ok(status) => self.note_end(front, format!("its exit was not 0: {status:?}")),
+            Ok(status) => self.record_wrong_end(front, format!("its exit was not 0: {status:?}")),
             Err(_) => {
                 let _ = child.kill().await;
-                self.note_end(front, "it was still there when SIGKILL may come".into());
+                self.record_wrong_end(front, "it still ran at the earliest time of SIGKILL".into());
             }
         }
     }
 
-    /// A process that was not ready may end by the signal itself, or with exit 0, and has to in time.
-    async fn end_early(&self, front: usize, mut child: Child) {
-        send(&child, Signal::SIGTERM);
+    /// Ends a process that is not ready yet. It may die of SIGTERM or exit with 0, but before the earliest
+    /// SIGKILL.
+    async fn terminate_unready(&self, front: usize, mut child: Child) {
+        send_signal(&child, Signal::SIGTERM);
         if timeout(EARLIEST_KILL, child.wait()).await.is_err() {
             let _ = child.kill().await;
-            self.note_end(front, "one that was not ready was still there when SIGKILL may come".into());
+            self.record_wrong_end(
+                front,
+                "a process that was not ready still ran at the earliest time of SIGKILL".into(),
+            );
         }
     }
 
-    async fn start(&self, front: usize) {
-        let seed = self.seed();
-        if let Err(e) = self.start_again(front, seed).await {
-            self.note_end(front, format!("it did not start again: {e}"));
+    async fn start_successor(&self, front: usize) {
+        let seed = self.draw_seed();
+        if let Err(e) = self.start_new_process(front, seed).await {
+            self.record_wrong_end(front, format!("it failed to start: {e}"));
         }
     }
 
-    fn note_end(&self, front: usize, what: String) {
+    /// Records a process that did not start, run or exit as it should.
+    fn record_wrong_end(&self, front: usize, what: String) {
         let at = self.tier.unix();
         self.book.open().ends.push((at, front, what));
     }
--- a/crates/lab/src/fleet/faults.rs
+++ b/crates/lab/src/fleet/faults.rs
@@ -1,8 +1,8 @@
-//! Carries faults out, each at its time and on whom it names.
+//! Injects the faults of a plan into the fronts, nodes and paths that each fault targets.
 
 use super::Fleet;
 use super::crowd;
-use super::fronts::{MemoryLimit, end, member};
+use super::fronts::{MemoryLimit, member, terminate};
 use super::plan::{Fault, Kind, Target};
 use super::record::NotificationRecord;
 use super::verdict::READY;
@@ -18,39 +18,39 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// Caches drop purged copies by themselves within the settings' six seconds: so long after (seconds).
-const SETTLES: Duration = Duration::from_secs(5);
-/// Clients come for so long after a front was told to end (seconds).
+/// Delay until the cache nodes drop purged copies by themselves; the settings allow them six seconds.
+const PURGE_DELAY: Duration = Duration::from_secs(5);
+/// Clients still open new connections for this time after a front's SIGTERM (seconds).
 pub(super) const COMING: f64 = 0.4;
-/// A memory limit that was cut is restored after this, and cut again after as long.
-const MEMORY_CUT: Duration = Duration::from_millis(1_700);
-/// A new process of a front serves so long beside the old before that is told to end (seconds).
-pub(super) const BESIDE: f64 = 0.5;
+/// A lowered memory limit is restored after this time, and lowered again after the same time.
+const MEMORY_LIMIT_CHANGE_INTERVAL: Duration = Duration::from_millis(1_700);
+/// A successor process serves beside the old process for this time before the old one gets SIGTERM (seconds).
+pub(super) const OVERLAP_S: f64 = 0.5;
 
 impl Fleet {
-    /// Sets all faults up.
+    /// Starts one task per fault, which begins and ends the fault at its times.
     pub fn schedule(self: &Rc<Self>) {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         for fault in &self.plan.faults {
             let (fleet, fault) = (self.clone(), fault.clone());
             spawn_local(async move {
-                let at = |s: f64| begun + Duration::from_secs_f64(s);
-                let fronts = fleet.pick(&fault.fronts, fleet.plan.fronts);
-                let nodes = fleet.pick(&fault.nodes, fleet.plan.nodes);
+                let at = |s: f64| started_at + Duration::from_secs_f64(s);
+                let fronts = fleet.select_targets(&fault.fronts, fleet.plan.fronts);
+                let nodes = fleet.select_targets(&fault.nodes, fleet.plan.nodes);
                 sleep_until(at(fault.at)).await;
                 fleet.book.open().events.push(fleet.tier.unix());
-                fleet.turn(&fault, &fronts, &nodes, true).await;
+                fleet.apply_fault(&fault, &fronts, &nodes, true).await;
                 sleep_until(at(fault.until)).await;
                 if fault.until > fault.at {
                     fleet.book.open().events.push(fleet.tier.unix());
                 }
-                fleet.turn(&fault, &fronts, &nodes, false).await;
+                fleet.apply_fault(&fault, &fronts, &nodes, false).await;
             });
         }
     }
 
-    /// Whom a target names.
-    fn pick(&self, target: &Target, count: usize) -> Vec<usize> {
+    /// Returns the places of the fronts or nodes that a target selects.
+    fn select_targets(&self, target: &Target, count: usize) -> Vec<usize> {
         let all = 0..count;
         let mut picked: Vec<usize> = match (&target.places[..], target.location) {
             ([], Some(location)) => all.filter(|p| self.plan.location(*p) == location).collect(),
@@ -64,24 +64,25 @@
         picked
     }
 
-    /// A seed for a process.
-    pub(super) fn seed(&self) -> u64 {
+    /// Draws a seed for a front process.
+    pub(super) fn draw_seed(&self) -> u64 {
         self.random.borrow_mut().random()
     }
 
-    async fn turn(self: &Rc<Self>, fault: &Fault, fronts: &[usize], nodes: &[usize], on: bool) {
+    /// Begins a fault (`on`) or ends it.
+    async fn apply_fault(self: &Rc<Self>, fault: &Fault, fronts: &[usize], nodes: &[usize], on: bool) {
         let span = Duration::from_secs_f64(fault.until - fault.at);
         match fault.kind {
-            // What a rollout drives, it starts again by itself.
+            // A rollout restarts the fronts that it controls.
             Kind::FrontKilled if self.rollout.is_some() => {
                 if on {
-                    self.kill_driven(fronts);
+                    self.kill_rollout_fronts(fronts);
                 }
             }
-            Kind::FrontKilled => self.each_at_once(fronts, on),
+            Kind::FrontKilled => self.kill_or_start_all(fronts, on),
             Kind::FrontStopped => {
                 for &f in fronts {
-                    self.clients.excuse(f);
+                    self.clients.excuse_in_flight(f);
                     self.fronts[f].signal(if on { Signal::SIGSTOP } else { Signal::SIGCONT });
                 }
             }
@@ -90,7 +91,7 @@
                 let gap = span / fronts.len().max(1) as u32;
                 for &f in fronts {
                     let fleet = self.clone();
-                    spawn_local(async move { fleet.renew(f, replaced).await });
+                    spawn_local(async move { fleet.replace_process(f, replaced).await });
                     sleep(gap).await;
                 }
             }
@@ -104,7 +105,7 @@
             Kind::MemoryScarce if on => {
                 for &f in fronts {
                     let fleet = self.clone();
-                    spawn_local(async move { fleet.cut_memory(f, span).await });
+                    spawn_local(async move { fleet.alternate_memory_limit(f, span).await });
                 }
             }
             Kind::MemoryScarce => {}
@@ -112,27 +113,29 @@
                 for &n in nodes {
                     let fleet = self.clone();
                     let kind = fault.kind;
-                    spawn_local(async move { fleet.node(n, kind, on).await });
+                    spawn_local(async move { fleet.set_node_down(n, kind, on).await });
                 }
             }
             Kind::NodeCordoned => self.cordon(nodes, on).await,
-            Kind::NodeSilent => self.paths(None, nodes, if on { Path::Silent } else { Path::Open }),
-            Kind::PathSilent => self.paths(Some(fronts), nodes, if on { Path::Silent } else { Path::Open }),
-            Kind::PathReset => self.paths(Some(fronts), nodes, if on { Path::Reset } else { Path::Open }),
+            Kind::NodeSilent => self.set_paths(None, nodes, if on { Path::Silent } else { Path::Open }),
+            Kind::PathSilent => {
+                self.set_paths(Some(fronts), nodes, if on { Path::Silent } else { Path::Open })
+            }
+            Kind::PathReset => self.set_paths(Some(fronts), nodes, if on { Path::Reset } else { Path::Open }),
             Kind::PathDelayed { seconds } => {
-                self.paths(Some(fronts), nodes, if on { Path::Delayed(seconds) } else { Path::Open });
+                self.set_paths(Some(fronts), nodes, if on { Path::Delayed(seconds) } else { Path::Open });
             }
             Kind::PathHalfOpen { share } => {
-                self.paths(Some(fronts), nodes, if on { Path::HalfOpen(share) } else { Path::Open });
+                self.set_paths(Some(fronts), nodes, if on { Path::HalfOpen(share) } else { Path::Open });
             }
             Kind::NodeSlow { times } => {
-                self.health(nodes, |h| h.slow = if on { times } else { 1.0 });
+                self.set_health(nodes, |h| h.slow = if on { times } else { 1.0 });
             }
             Kind::NodeFailing { share } => {
-                self.health(nodes, |h| h.failing = if on { share } else { 0.0 });
+                self.set_health(nodes, |h| h.failing = if on { share } else { 0.0 });
             }
             Kind::NodeBreaking { share } => {
-                self.health(nodes, |h| h.breaking = if on { share } else { 0.0 });
+                self.set_health(nodes, |h| h.breaking = if on { share } else { 0.0 });
             }
             Kind::NewsLate => fronts.iter().for_each(|&f| self.fronts[f].coordinator.hold(on)),
             Kind::NewsCut => fronts.iter().for_each(|&f| self.fronts[f].coordinator.cut(on)),
@@ -152,13 +155,13 @@
                 }
                 let fleet = self.clone();
                 spawn_local(async move {
-                    sleep(SETTLES).await;
+                    sleep(PURGE_DELAY).await;
                     fleet.tier.nodes.iter().for_each(|n| n.forget(now));
                 });
             }
             Kind::Purged => {}
         }
-        let trouble = matches!(
+        let degrades_node = matches!(
             fault.kind,
             Kind::NodeSilent
                 | Kind::NodeSlow { .. }
@@ -169,13 +172,13 @@
                 | Kind::PathDelayed { .. }
                 | Kind::PathHalfOpen { .. }
         );
-        if trouble && on {
+        if degrades_node && on {
             let (from, until) = (self.tier.unix(), self.tier.unix() + span.as_secs_f64());
             self.book.open().troubled.extend(nodes.iter().map(|&n| (n, from, until)));
         }
     }
 
-    fn paths(&self, fronts: Option<&[usize]>, nodes: &[usize], path: Path) {
+    fn set_paths(&self, fronts: Option<&[usize]>, nodes: &[usize], path: Path) {
         for &n in nodes {
             match fronts {
                 None => self.tier.nodes[n].path(None, path),
@@ -184,16 +187,16 @@
         }
     }
 
-    fn health(&self, nodes: &[usize], change: impl Fn(&mut Health)) {
+    fn set_health(&self, nodes: &[usize], change: impl Fn(&mut Health)) {
         nodes.iter().for_each(|&n| self.tier.nodes[n].set(&change));
     }
 
-    /// All processes of these fronts are killed, whoever started them.
-    fn kill_driven(&self, fronts: &[usize]) {
+    /// Kills all processes of these fronts, whether the test or the rollout started them.
+    fn kill_rollout_fronts(&self, fronts: &[usize]) {
         let Some(rollout) = &self.rollout else { return };
         let started = super::rollout::processes(&rollout.name);
         for &f in fronts {
-            self.clients.excuse(f);
+            self.clients.excuse_in_flight(f);
             let front = &self.fronts[f];
             front.kills.set(front.kills.get() + 1);
             front.signal(Signal::SIGKILL);
@@ -203,50 +206,55 @@
         }
     }
 
-    /// All of these fronts are killed, or start again.
-    fn each_at_once(self: &Rc<Self>, fronts: &[usize], killed: bool) {
+    /// Kills all of these fronts at once, or starts them again.
+    fn kill_or_start_all(self: &Rc<Self>, fronts: &[usize], kill: bool) {
         for &f in fronts {
-            let (fleet, seed) = (self.clone(), self.seed());
+            let (fleet, seed) = (self.clone(), self.draw_seed());
             spawn_local(async move {
-                if killed {
-                    fleet.clients.excuse(f);
+                if kill {
+                    fleet.clients.excuse_in_flight(f);
                     fleet.fronts[f].kill().await;
-                } else if let Err(e) = fleet.start_again(f, seed).await {
+                } else if let Err(e) = fleet.start_new_process(f, seed).await {
                     fleet.fronts[f].crashed.set(true);
-                    eprintln!("onyxyoke-lab: front {f} did not start again: {e}");
+                    eprintln!("onyxyoke-lab: front {f} failed to start: {e}");
                 }
             });
         }
     }
 
-    /// Cuts a front's memory limit and restores it, for the span.
-    async fn cut_memory(&self, f: usize, span: Duration) {
+    /// Lowers and restores a front's memory limit in turn, for the whole span.
+    async fn alternate_memory_limit(&self, f: usize, span: Duration) {
         let until = Instant::now() + span;
         while Instant::now() < until {
             for limit in [MemoryLimit::BelowProgram, MemoryLimit::Planned] {
                 self.fronts[f].limit_memory(limit);
-                sleep(MEMORY_CUT).await;
+                sleep(MEMORY_LIMIT_CHANGE_INTERVAL).await;
             }
         }
     }
 
-    /// Starts a front's process again, and notes how long after that it takes clients.
-    pub(super) async fn start_again(&self, f: usize, seed: u64) -> Result<Option<Child>, Box<dyn Error>> {
+    /// Starts a new process of a front and records how long it takes to become ready. Returns the process
+    /// before it.
+    pub(super) async fn start_new_process(
+        &self,
+        f: usize,
+        seed: u64,
+    ) -> Result<Option<Child>, Box<dyn Error>> {
         let began = Instant::now();
         let old = self.fronts[f].start(&self.tier, seed).await?;
-        let ready = timeout(Duration::from_secs_f64(READY.1), self.fronts[f].ready()).await;
+        let ready = timeout(Duration::from_secs_f64(READY.1), self.fronts[f].wait_until_ready()).await;
         self.book.open().ready.push(ready.map_or(f64::INFINITY, |()| began.elapsed().as_secs_f64()));
         Ok(old)
     }
 
-    /// A new process for a front: beside the old one, or after it has ended.
-    async fn renew(&self, f: usize, beside: bool) {
+    /// Starts a new process of a front: beside the old one (`overlap`), or once the old one has exited.
+    async fn replace_process(&self, f: usize, overlap: bool) {
         let front = &self.fronts[f];
-        let seed = self.seed();
-        if !beside {
+        let seed = self.draw_seed();
+        if !overlap {
             let ended = spawn_local({
                 let front = front.clone();
-                async move { front.end().await }
+                async move { front.terminate().await }
             });
             sleep(Duration::from_secs_f64(COMING)).await;
             front.address.set(None);
@@ -254,25 +262,26 @@
                 front.crashed.set(true);
             }
         }
-        match self.start_again(f, seed).await {
+        match self.start_new_process(f, seed).await {
             Ok(old) => {
-                sleep(Duration::from_secs_f64(BESIDE)).await;
-                if beside && !end(old).await {
+                sleep(Duration::from_secs_f64(OVERLAP_S)).await;
+                if overlap && !terminate(old).await {
                     front.crashed.set(true);
                 }
             }
             Err(e) => {
                 front.crashed.set(true);
-                eprintln!("onyxyoke-lab: front {f} did not start again: {e}");
+                eprintln!("onyxyoke-lab: front {f} failed to start: {e}");
             }
         }
     }
 
-    /// A node goes, or comes back empty and cold, and the list tells of it some time later.
-    async fn node(&self, n: usize, kind: Kind, on: bool) {
+    /// Takes a node down (`down`), or brings it back empty and cold. The coordinators report the change after
+    /// the plan's delay.
+    async fn set_node_down(&self, n: usize, kind: Kind, down: bool) {
         let node = &self.tier.nodes[n];
         let drained = kind == Kind::NodeDrained;
-        if on {
+        if down {
             if !drained {
                 node.path(None, Path::Down);
             }
@@ -280,10 +289,10 @@
             if !drained {
                 sleep(Duration::from_secs_f64(self.plan.told_gone_s)).await;
             }
-            // It may be back by now, and told so.
+            // The node may be back by now, and the coordinators may have reported that already.
             if node.listed().0 == 0 {
                 node.list(if drained { 1 } else { 2 }, node.listed().1);
-                self.tell(n);
+                self.announce_node(n);
             }
             return;
         }
@@ -294,37 +303,38 @@
         {
             let mut seen = self.book.open();
             seen.cold.push((n, started as f64 / 1000.0));
-            let well = self.tier.unix();
+            let recovered_at = self.tier.unix();
             if let Some(t) = seen.troubled.iter_mut().rev().find(|t| t.0 == n && t.2 == f64::MAX) {
-                t.2 = well;
+                t.2 = recovered_at;
             }
         }
         node.path(None, Path::Open);
         sleep(Duration::from_secs_f64(self.plan.told_back_s)).await;
         if kind == Kind::NodeReplaced {
-            // The old id goes for good; at its address is another.
+            // The old id is removed for good; a node with a new id takes over the address.
             node.list(2, node.listed().1);
-            self.tell(n);
-            if let Some(id) = self.fresh.borrow_mut().pop() {
-                let had = [(node.id(), (n, self.tier.unix())), (id, (n, f64::MAX))];
-                self.names.borrow_mut().extend(had);
+            self.announce_node(n);
+            if let Some(id) = self.unused_ids.borrow_mut().pop() {
+                let names = [(node.id(), (n, self.tier.unix())), (id, (n, f64::MAX))];
+                self.names.borrow_mut().extend(names);
                 node.rename(id);
             }
         }
         node.list(0, started);
-        self.tell(n);
+        self.announce_node(n);
     }
 
-    /// Operators call every front. A cordon binds once the last has said yes; it is called back from the first call on.
+    /// Sends the operators' command to every front of the node's location. A cordon counts as in force once
+    /// the last front has accepted it, and as lifted from the first uncordon command on.
     async fn cordon(&self, nodes: &[usize], on: bool) {
         for &n in nodes {
-            let word = if on { "cordon" } else { "uncordon" };
+            let command = if on { "cordon" } else { "uncordon" };
             let first = self.tier.unix();
-            let line = format!("{word} s-{:08x}", self.tier.nodes[n].id());
+            let line = format!("{command} s-{:08x}", self.tier.nodes[n].id());
             for front in self.fronts.iter().filter(|f| self.plan.location(f.place) == self.plan.location(n)) {
-                if !front.call(&line).await {
+                if !front.send_command(&line).await {
                     self.book.open().unheard += 1;
-                    eprintln!("onyxyoke-lab: front {} did not say yes to '{line}'", front.place);
+                    eprintln!("onyxyoke-lab: front {} did not accept '{line}'", front.place);
                 }
             }
             let at = if on { self.tier.unix() } else { first };
@@ -337,13 +347,13 @@
         }
     }
 
-    /// What each front was told, in the record.
-    pub fn write_told(&self) {
+    /// Records the membership changes that each front was sent.
+    pub fn record_notifications(&self) {
         let names = self.names.borrow();
         let mut seen = self.book.open();
         for front in &self.fronts {
             let told = front.coordinator.heard().into_iter().filter_map(|(at, id, state)| {
-                // What is told late of an id says nothing of the node that has come in its place.
+                // A late notification for a replaced id says nothing about the node that took its address.
                 let &(node, until) = names.get(&id)?;
                 (at < until).then_some(NotificationRecord { at, node, state, front: Some(front.place) })
             });
@@ -351,17 +361,17 @@
         }
     }
 
-    /// The coordinators tell their fronts of a node as it is listed.
-    fn tell(&self, n: usize) {
+    /// Has the coordinators send their fronts the listed state of a node.
+    fn announce_node(&self, n: usize) {
         let location = self.plan.location(n);
-        let mut any = false;
+        let mut announced = false;
         for front in &self.fronts {
             if let Some(member) = member(&self.tier, n, front.place, location) {
                 front.coordinator.changed(&[member]);
-                any = true;
+                announced = true;
             }
         }
-        if any {
+        if announced {
             let at = self.tier.unix();
             self.book.open().events.push(at);
         }
--- a/crates/lab/src/fleet/fronts.rs
+++ b/crates/lab/src/fleet/fronts.rs
@@ -1,4 +1,4 @@
-//! The fronts of a fleet as processes: each with a configuration, a coordinator and a folder of its own.
+//! The front processes of a fleet, each with its own configuration, coordinator and folder.
 
 use super::plan::Plan;
 use super::terminations::Terminations;
@@ -22,24 +22,26 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// Longest wait for a process to start, or to end (seconds).
-const PATIENCE: Duration = Duration::from_secs(30);
-/// Longest that an operator waits (seconds).
-const CALL: Duration = Duration::from_secs(1);
-/// A front that is not ready is asked again after so long.
-const LOOK: Duration = Duration::from_millis(20);
-/// Descriptors that a front may have.
-const SOCKETS: usize = 256;
+/// Timeout of the start and of the exit of a process.
+const PROCESS_TIMEOUT: Duration = Duration::from_secs(30);
+/// Timeout of an operator's command.
+const COMMAND_TIMEOUT: Duration = Duration::from_secs(1);
+/// Interval between health checks of a front that is not ready.
+const HEALTH_INTERVAL: Duration = Duration::from_millis(20);
+/// Limit of a front's file descriptors.
+const SOCKET_LIMIT: usize = 256;
 
-/// The settings of every front, before it is told who it is.
+/// Returns the settings that all fronts share; each front adds its own place and location.
 pub fn settings(plan: &Plan) -> Result<Value, Box<dyn Error>> {
     let operator: Value = toml::from_str(crate::OPERATOR)?;
     let mut settings = operator["settings"].clone();
-    let here = |l: usize| (0..plan.fronts).filter(|f| plan.location(*f) == l).count();
-    let counts = (0..plan.locations).map(here);
+    let fronts_at = |l: usize| (0..plan.fronts).filter(|f| plan.location(*f) == l).count();
+    let counts = (0..plan.locations).map(fronts_at);
     let names = (0..plan.locations).map(|l| format!("branch{l}"));
     let links: f64 = (0..plan.nodes).map(|n| plan.link(n)).sum();
-    let flow = settings["specifics"]["one-flow-kb-per-s"].as_f64().ok_or("the example tells no flow")?;
+    let flow = settings["specifics"]["one-flow-kb-per-s"]
+        .as_f64()
+        .ok_or("the example settings lack 'specifics.one-flow-kb-per-s'")?;
     let link_in = links / plan.locations as f64 * flow;
     settings["fleet-size"] = json!(plan.fronts);
     settings["localities"] = [String::from("hub")].into_iter().chain(names).collect();
@@ -50,50 +52,51 @@
     Ok(settings)
 }
 
-/// A front's limit of memory.
+/// Which memory limit a front's settings contain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MemoryLimit {
-    /// What the plan says.
+    /// The limit of the plan.
     Planned,
-    /// Less than the program itself takes, so that all but the reserves is refused.
+    /// Less than the program itself needs, so that the front refuses everything beyond its reserves.
     BelowProgram,
 }
 
-/// Less than any build of the program takes (megabytes).
+/// Less memory than any build of the program needs (megabytes).
 const BELOW_PROGRAM_MB: usize = 4;
 
-/// A front: its process comes and goes.
+/// A front, whose process may be restarted and replaced.
 pub struct Front {
     pub place: usize,
     pub coordinator: Rc<Coordinator>,
-    /// Where its clients reach it, while it is up.
+    /// The address for new client connections; `None` while clients must not open any.
     pub address: Cell<Option<SocketAddr>>,
-    /// Where operators call the newest process.
+    /// The address at which the newest process accepts operators' commands.
     operators: Cell<Option<SocketAddr>>,
-    path: PathBuf,
+    program: PathBuf,
     folder: PathBuf,
-    /// Where what its processes log is kept, if it is, each line with the time since this.
+    /// The file that collects the logs of its processes, if any; each line gets the time since `created_at`.
     log: Option<PathBuf>,
-    began: Instant,
+    created_at: Instant,
     config: RefCell<Value>,
     child: RefCell<Option<Child>>,
-    /// It is meant to be up: an end by itself is a crash.
+    /// The process is expected to run, so that an exit of its own counts as a crash.
     pub meant: Cell<bool>,
     pub crashed: Cell<bool>,
-    /// Its clients go on using the connections that they have, though no new ones come.
+    /// Clients keep using their open connections, though they open no new ones.
     pub lingers: Cell<bool>,
-    /// When its processes were told to end.
+    /// The times at which its processes got SIGTERM.
     pub terminations: Terminations,
-    /// Held while its process goes through a series of signals: the next series is for the process that comes of this one.
+    /// Locked during a series of signals, since the next series is meant for the process that this one
+    /// leaves.
     pub cycle_turn: Mutex<()>,
-    /// How often the rig killed all its processes for another than the rig to start it again, and after how many of these a
-    /// client has had an answer: in between nobody need take connections.
+    /// How often the test killed all processes of a front that a rollout restarts, and the number of kills
+    /// after which a client last got an answer. While the two differ, refused connections are expected.
     pub kills: Cell<u32>,
     pub answered_after: Cell<u32>,
 }
 
 impl Front {
-    /// A front that has not started yet.
+    /// Creates a front whose process is not started yet.
     pub async fn new(
         plan: &Plan,
         place: usize,
@@ -101,14 +104,14 @@
         tier: &Tier,
         (folder, logs): (&Path, Option<&Path>),
     ) -> Result<Rc<Front>, Box<dyn Error>> {
-        let mut sum = 0.0;
+        let mut share_sum = 0.0;
         let share = (place / plan.locations) as f64 / (plan.fronts / plan.locations).max(1) as f64;
-        let after = |p: &super::plan::Program| {
-            sum += p.share;
-            share < sum - 1e-9
+        let covers_place = |p: &super::plan::Program| {
+            share_sum += p.share;
+            share < share_sum - 1e-9
         };
-        let program = plan.programs.iter().position(after).unwrap_or(plan.programs.len() - 1);
-        let path = match &plan.programs[program].path {
+        let index = plan.programs.iter().position(covers_place).unwrap_or(plan.programs.len() - 1);
+        let program = match &plan.programs[index].path {
             Some(path) => path.clone(),
             None => std::env::current_exe()?.with_file_name("onyxyoke"),
         };
@@ -118,7 +121,8 @@
         let mut settings = settings.clone();
         settings["me"] = json!(place);
         settings["az"] = json!(plan.location(place) + 1);
-        // A rollout's processes listen where the first one does, so that the file has to say where.
+        // All processes of a rollout listen on the address of the first, so the settings file needs a fixed
+        // address.
         let listen = match plan.rollout {
             None => "127.0.0.1:0".to_owned(),
             Some(_) => {
@@ -127,17 +131,17 @@
             }
         };
         let config = json!({"name": format!("n{place}"), "listen": listen,
-            "limits": {"cores": 1.0, "memory_mb": plan.memory_mb, "sockets": SOCKETS},
-            "coordinator": coordinator.address, "settings": settings, "known": known(place, tier)?});
+            "limits": {"cores": 1.0, "memory_mb": plan.memory_mb, "sockets": SOCKET_LIMIT},
+            "coordinator": coordinator.address, "settings": settings, "known": known_members(place, tier)?});
         Ok(Rc::new(Front {
             place,
             coordinator,
             address: Cell::new(None),
             operators: Cell::new(None),
-            path,
+            program,
             folder,
             log: logs.map(|l| l.join(format!("front{place}.log"))),
-            began: Instant::now(),
+            created_at: Instant::now(),
             config: RefCell::new(config),
             child: RefCell::new(None),
             meant: Cell::new(false),
@@ -150,12 +154,13 @@
         }))
     }
 
-    /// Starts a process, with what is known by now and a seed of its own; the one before is given back.
+    /// Starts a process with the current membership and this seed, waits until it serves, and returns the
+    /// process before it.
     pub async fn start(self: &Rc<Self>, tier: &Tier, seed: u64) -> Result<Option<Child>, Box<dyn Error>> {
         let file = self.settings_file();
         {
             let mut config = self.config.borrow_mut();
-            config["known"] = known(self.place, tier)?;
+            config["known"] = known_members(self.place, tier)?;
             config["known"]["index"] = json!(self.coordinator.told());
             config["known"]["updates"][0]["index"] = config["known"]["index"].clone();
             config["seed"] = json!(format!("{seed:016x}"));
@@ -165,7 +170,7 @@
         self.coordinator.knows(listed.map(|m| (m.id, m.state)));
         let mut child = self.spawn(Stdio::piped())?;
         let stderr = child.stderr.take().ok_or("no standard error")?;
-        let (sender, serves) = oneshot::channel();
+        let (sender, serving) = oneshot::channel();
         let this = self.clone();
         let log = self.log.as_ref().map(|l| std::fs::OpenOptions::new().create(true).append(true).open(l));
         let mut log = log.transpose()?;
@@ -174,7 +179,7 @@
             let mut sender = Some(sender);
             while let Ok(Some(line)) = lines.next_line().await {
                 if let Some(log) = &mut log {
-                    let _ = writeln!(log, "{:.3} {line}", this.began.elapsed().as_secs_f64());
+                    let _ = writeln!(log, "{:.3} {line}", this.created_at.elapsed().as_secs_f64());
                 }
                 if line.contains(" answers operators on ") {
                     this.operators.set(line.rsplit(' ').next().and_then(|a| a.parse().ok()));
@@ -184,17 +189,17 @@
                 }
             }
         });
-        let first = timeout(PATIENCE, serves).await?.map_err(|_| "a front ended before it served")?;
-        let address = first.rsplit(' ').next().and_then(|a| a.parse().ok()).ok_or(first)?;
+        let line = timeout(PROCESS_TIMEOUT, serving).await?.map_err(|_| "a front exited before it served")?;
+        let address = line.rsplit(' ').next().and_then(|a| a.parse().ok()).ok_or(line)?;
         self.config.borrow_mut()["listen"] = json!(address);
         self.address.set(Some(address));
         self.meant.set(true);
         Ok(self.child.borrow_mut().replace(child))
     }
 
-    /// Starts a process by the settings as they are, and waits for nothing.
+    /// Spawns a process with the current settings file, without waiting until it serves.
     pub fn spawn(&self, log: Stdio) -> Result<Child, Box<dyn Error>> {
-        let child = Command::new(&self.path)
+        let child = Command::new(&self.program)
             .env_remove("ONYXYOKE_OPERATOR")
             .env("NODE_ADMIN_ADDR", "127.0.0.1:0")
             .env("NODE_CONFIG", self.settings_file())
@@ -203,61 +208,61 @@
             .stderr(log)
             .kill_on_drop(true)
             .spawn()
-            .map_err(|e| format!("'{}' does not start: {e}", self.path.display()))?;
+            .map_err(|e| format!("cannot start '{}': {e}", self.program.display()))?;
         Ok(child)
     }
 
-    /// Has it read its settings again: the usable ones, with another limit of memory, or a file that is none.
+    /// Has the process reload its settings: usable ones with another memory limit, or an unusable file.
     pub fn reload(&self, usable: bool) {
         let mut config = self.config.borrow().clone();
         config["limits"]["memory_mb"] = json!(config["limits"]["memory_mb"].as_u64().unwrap_or(64) + 1);
-        self.reread(if usable { config.to_string() } else { "{".to_owned() });
+        self.reload_text(if usable { config.to_string() } else { "{".to_owned() });
     }
 
-    /// Has it read its settings again, with this limit of memory.
+    /// Has the process reload its settings with this memory limit.
     pub fn limit_memory(&self, limit: MemoryLimit) {
         let mut config = self.config.borrow().clone();
         if limit == MemoryLimit::BelowProgram {
             config["limits"]["memory_mb"] = json!(BELOW_PROGRAM_MB);
         }
-        self.reread(config.to_string());
+        self.reload_text(config.to_string());
     }
 
-    /// Has it read this as its settings.
-    fn reread(&self, text: String) {
+    /// Replaces the settings file and sends SIGHUP.
+    fn reload_text(&self, text: String) {
         let next = self.folder.join("config.next");
         if std::fs::write(&next, text).and_then(|()| std::fs::rename(&next, self.settings_file())).is_ok() {
             self.signal(Signal::SIGHUP);
         }
     }
 
-    /// Its newest process, which is meant to be up no more.
+    /// Takes the newest process out, so that its exit no longer counts as a crash.
     pub fn take_process(&self) -> Option<Child> {
         self.meant.set(false);
         self.child.borrow_mut().take()
     }
 
-    /// Waits until it says that it takes clients.
-    pub async fn ready(&self) {
-        while !self.healthy().await.unwrap_or(false) {
-            sleep(LOOK).await;
+    /// Waits until the health check succeeds.
+    pub async fn wait_until_ready(&self) {
+        while !self.is_healthy().await.unwrap_or(false) {
+            sleep(HEALTH_INTERVAL).await;
         }
     }
 
-    /// Does it say so?
-    async fn healthy(&self) -> std::io::Result<bool> {
+    /// Returns whether the process answers a health check with yes.
+    async fn is_healthy(&self) -> std::io::Result<bool> {
         let Some(address) = self.address.get() else { return Ok(false) };
         let mut stream = TcpStream::connect(address).await?;
         stream.write_all(b"*3\r\n$6\r\nHEALTH\r\n$1\r\n1\r\n$0\r\n\r\n").await?;
         let mut lines = BufReader::new(stream).lines();
-        // An array of four: the tag, and the word.
+        // Skips the array's header, the tag's length and value, and the length of the result.
         for _ in 0..4 {
             lines.next_line().await?;
         }
         Ok(lines.next_line().await?.is_some_and(|word| word == "yes"))
     }
 
-    /// Its name, its settings' file and its folder.
+    /// The front's name in its settings.
     pub fn name(&self) -> String {
         format!("n{}", self.place)
     }
@@ -270,39 +275,39 @@
         &self.folder
     }
 
-    /// Its program, and where its first process answers operators.
     pub fn program(&self) -> PathBuf {
-        self.path.clone()
+        self.program.clone()
     }
 
+    /// The address at which the newest process accepts operators' commands, once it has logged it.
     pub fn operators(&self) -> Option<SocketAddr> {
         self.operators.get()
     }
 
-    /// Does the process run that the rig started?
-    pub fn runs(&self) -> bool {
+    /// Returns whether the process that the test started still runs.
+    pub fn is_running(&self) -> bool {
         self.child.borrow_mut().as_mut().is_some_and(|c| matches!(c.try_wait(), Ok(None)))
     }
 
-    /// A rollout has it from now on: its first process may be told to end by another than the rig.
-    pub fn handed_over(&self) {
+    /// Leaves the front to a rollout, which may end the first process.
+    pub fn hand_over(&self) {
         self.meant.set(false);
     }
 
-    /// Calls it as an operator does; was the answer a yes?
-    pub async fn call(&self, line: &str) -> bool {
+    /// Sends an operator's command, and returns whether the front accepted it.
+    pub async fn send_command(&self, line: &str) -> bool {
         let Some(address) = self.operators.get() else { return false };
-        accepts(address, line).await
+        is_accepted(address, line).await
     }
 
-    /// Sends it a signal.
+    /// Sends the newest process a signal.
     pub fn signal(&self, signal: Signal) {
         if let Some(child) = self.child.borrow().as_ref() {
-            send(child, signal);
+            send_signal(child, signal);
         }
     }
 
-    /// Ends it at once.
+    /// Kills the newest process.
     pub async fn kill(&self) {
         self.meant.set(false);
         self.address.set(None);
@@ -312,17 +317,18 @@
         }
     }
 
-    /// Ends it by SIGTERM, as the platform does; clients go elsewhere when it has ended. Was its exit 0?
-    pub async fn end(&self) -> bool {
+    /// Ends the newest process with SIGTERM, as the platform does; clients open connections until it has
+    /// exited. Returns whether its exit code was 0.
+    pub async fn terminate(&self) -> bool {
         self.meant.set(false);
         let child = self.child.borrow_mut().take();
-        let ended = end(child).await;
+        let exited_well = terminate(child).await;
         self.address.set(None);
-        ended
+        exited_well
     }
 
-    /// Looks whether it ended by itself.
-    pub fn look(&self) {
+    /// Checks whether the process exited by itself.
+    pub fn check_for_crash(&self) {
         if let Some(child) = self.child.borrow_mut().as_mut().filter(|_| self.meant.get())
             && !matches!(child.try_wait(), Ok(None))
         {
@@ -330,7 +336,7 @@
         }
     }
 
-    /// Processor time that it has taken (seconds).
+    /// Processor time of the newest process (seconds).
     pub fn processor_s(&self) -> f64 {
         let id = self.child.borrow().as_ref().and_then(Child::id);
         let stat = id.and_then(|id| std::fs::read_to_string(format!("/proc/{id}/schedstat")).ok());
@@ -339,21 +345,21 @@
     }
 }
 
-/// Sends a process a signal, if it has not been waited for yet.
-pub fn send(child: &Child, signal: Signal) {
+/// Sends a signal to a process that has not been waited for yet.
+pub fn send_signal(child: &Child, signal: Signal) {
     if let Some(id) = child.id() {
         let _ = kill(Pid::from_raw(id as i32), signal);
     }
 }
 
-/// Ends a process by SIGTERM; was its exit 0?
-pub async fn end(child: Option<Child>) -> bool {
+/// Ends a process with SIGTERM, and returns whether its exit code was 0.
+pub async fn terminate(child: Option<Child>) -> bool {
     let Some(mut child) = child else { return true };
-    send(&child, Signal::SIGTERM);
-    matches!(timeout(PATIENCE, child.wait()).await, Ok(Ok(status)) if status.success())
+    send_signal(&child, Signal::SIGTERM);
+    matches!(timeout(PROCESS_TIMEOUT, child.wait()).await, Ok(Ok(status)) if status.success())
 }
 
-/// A node as the list has it.
+/// Returns a node's entry in the membership list of a front, if the front has an address for the node.
 pub fn member(tier: &Tier, node: usize, front: usize, location: usize) -> Option<Member> {
     let n = &tier.nodes[node];
     let (zone, kind) = match n.kind {
@@ -366,12 +372,12 @@
     Some(Member { id: n.id(), address, state, zone, kind, weight: n.usual, started_ms: started })
 }
 
-/// The whole list as a front is told it at its start.
-fn known(front: usize, tier: &Tier) -> Result<Value, Box<dyn Error>> {
+/// Returns the whole membership list for the settings of a front's new process.
+fn known_members(front: usize, tier: &Tier) -> Result<Value, Box<dyn Error>> {
     let kinds = ["standard", "parent", "origin"];
     let mut members = Vec::new();
     for node in 0..tier.nodes.len() {
-        // The address is there for nodes of the own location alone, and for those above.
+        // A front has addresses only for nodes of its own location, for parents and for the origin.
         let Some(m) = member(tier, node, front, 0).filter(|m| m.state != 2) else { continue };
         members.push((m, tier.nodes[node].zone.clone()));
     }
@@ -387,17 +393,17 @@
         {"revision": 1, "complete": true, "members": members}}]}))
 }
 
-/// Calls the front that answers operators there; was the answer a whole yes?
-async fn accepts(operators: SocketAddr, line: &str) -> bool {
-    let call = async {
+/// Sends an operator's command, and returns whether the reply is a complete confirmation.
+async fn is_accepted(operators: SocketAddr, line: &str) -> bool {
+    let exchange = async {
         let mut stream = TcpStream::connect(operators).await?;
         stream.write_all(format!("{line}\n").as_bytes()).await?;
         let mut reply = String::new();
         BufReader::new(stream).read_line(&mut reply).await?;
         std::io::Result::Ok(reply)
     };
-    let whole_yes = |reply: &str| reply.starts_with("ok") && reply.ends_with('\n');
-    matches!(timeout(CALL, call).await, Ok(Ok(reply)) if whole_yes(&reply))
+    let confirms = |reply: &str| reply.starts_with("ok") && reply.ends_with('\n');
+    matches!(timeout(COMMAND_TIMEOUT, exchange).await, Ok(Ok(reply)) if confirms(&reply))
 }
 
 #[cfg(test)]
--- a/crates/lab/src/fleet/mod.rs
+++ b/crates/lab/src/fleet/mod.rs
@@ -172,8 +172,8 @@
     fronts: Vec<Rc<Front>>,
     clients: Rc<Clients>,
     cold: Cold,
-    /// Ids for nodes that take another's place.
-    fresh: std::cell::RefCell<Vec<u32>>,
+    /// Unused ids for nodes that replace others.
+    unused_ids: std::cell::RefCell<Vec<u32>>,
     /// The place of each node by the ids that it has had, and until when it had them (Unix seconds).
     names: std::cell::RefCell<std::collections::HashMap<u32, (usize, f64)>>,
     random: std::cell::RefCell<StdRng>,
@@ -233,7 +233,7 @@
         fronts: fronts.clone(),
         clients: clients.clone(),
         cold,
-        fresh: std::cell::RefCell::new(ids(plan.nodes * 8).split_off(plan.nodes + plan.parents + 1)),
+        unused_ids: std::cell::RefCell::new(ids(plan.nodes * 8).split_off(plan.nodes + plan.parents + 1)),
         names: std::cell::RefCell::new(tier.nodes.iter().map(|n| (n.id(), (n.place, f64::MAX))).collect()),
         random: std::cell::RefCell::new(random),
         rollout: driven.clone(),
@@ -246,7 +246,7 @@
             sleep(Duration::from_millis(5)).await;
         }
         driven.write(&fleet)?;
-        fronts.iter().for_each(|f| f.handed_over());
+        fronts.iter().for_each(|f| f.hand_over());
         let drive = driven.clone().drive(tokio::time::Instant::now());
         driving = Some(spawn_local(async move { drive.await.map_err(|e| e.to_string()) }));
     }
@@ -273,7 +273,7 @@
             seen.done[node.place].push(done);
         }
         drop(seen);
-        fronts.iter().for_each(|f| f.look());
+        fronts.iter().for_each(|f| f.check_for_crash());
     }
     clients.stop();
     let after: f64 = fronts.iter().map(|f| f.processor_s()).sum();
@@ -302,7 +302,7 @@
             .collect(),
         bounds: plan.bounds.clone(),
     };
-    fleet.write_told();
+    fleet.record_notifications();
     let mut verdict = verdict::judge(&book.open(), &terms);
     for front in fronts.iter().filter(|f| f.crashed.get()) {
         let (times, example) = verdict.rules.entry("no crash".into()).or_default();
@@ -317,7 +317,7 @@
         if let Some(keep) = std::env::var_os("ONYXYOKE_KEEP") {
             let _ = std::fs::rename(driven.folder(), keep);
         }
-        fronts.iter().for_each(|f| f.meant.set(f.runs()));
+        fronts.iter().for_each(|f| f.meant.set(f.is_running()));
     }
     for some in fronts.chunks(50) {
         let ends: Vec<_> = some
@@ -325,7 +325,7 @@
             .filter(|f| f.meant.get())
             .map(|f| {
                 let f = f.clone();
-                spawn_local(async move { (f.place, f.end().await) })
+                spawn_local(async move { (f.place, f.terminate().await) })
             })
             .collect();
         for end in ends {
--- a/crates/lab/src/fleet/rollout.rs
+++ b/crates/lab/src/fleet/rollout.rs
@@ -208,7 +208,7 @@
         let running = processes(&self.name);
         for front in &fleet.fronts {
             let mine: Vec<&Started> = running.iter().filter(|p| p.front == front.name()).collect();
-            let first = front.runs();
+            let first = front.is_running();
             let reloaded = || {
                 let file = |path: &Path| std::fs::read(path).ok();
                 let settings = front.settings_file();
