--- a/crates/lab/src/fleet/clients.rs
+++ b/crates/lab/src/fleet/clients.rs
@@ -1,5 +1,5 @@
-//! Clients of a fleet: they ask whether or not they were answered, each by its front's connection, and go to
-//! another front of the location once they notice that theirs is gone.
+//! Open-loop clients of a fleet. Each sends its requests on connections to its own front, and to another
+//! front of the location once it notices that its own is gone.
 
 use super::fronts::Front;
 use super::plan::Plan;
@@ -30,15 +30,14 @@
 const MEDIA: (&str, f64, f64, f64) = ("media", 5.0, 0.5, 1.6);
 const HOLDS: (&str, f64, f64, f64) = ("holds", 3.0, 0.6, 0.0);
 
-/// A client's connection. For each tag in flight it holds the index in the record and whether this is a
-/// retry.
+/// A client's connection; each tag in flight has its index in the record, and whether it is a retry.
 type Connection = ClientConnection<(usize, bool)>;
 
 /// The clients of all fronts of a fleet.
 pub struct Clients {
     plan: Plan,
     tier: Arc<Tier>,
-    book: Arc<EventLog>,
+    event_log: Arc<EventLog>,
     fronts: Vec<Rc<Front>>,
     /// The open connections of each front.
     connections: RefCell<Vec<Vec<Rc<Connection>>>>,
@@ -56,7 +55,7 @@
     pub fn new(
         plan: &Plan,
         tier: Arc<Tier>,
-        book: Arc<EventLog>,
+        event_log: Arc<EventLog>,
         fronts: Vec<Rc<Front>>,
         seed: u64,
     ) -> Rc<Clients> {
@@ -66,7 +65,7 @@
             connections: RefCell::new(vec![Vec::new(); fronts.len()]),
             plan: plan.clone(),
             tier,
-            book,
+            event_log,
             fronts,
             random: RefCell::new(SmallRng::seed_from_u64(seed ^ 0xc11e)),
             running: Cell::new(true),
@@ -91,11 +90,11 @@
     /// Marks the requests in flight at a front as excused, since it was killed or stopped.
     pub fn excuse_in_flight(&self, front: usize) {
         let connections = self.connections.borrow();
-        let mut seen = self.book.open();
-        for (place, _) in
+        let mut seen = self.event_log.open();
+        for (index, _) in
             connections[front].iter().flat_map(|c| c.open.borrow().values().copied().collect::<Vec<_>>())
         {
-            seen.asked[place].excused = true;
+            seen.asked[index].excused = true;
         }
     }
 
@@ -114,7 +113,7 @@
             if !self.running.get() {
                 return;
             }
-            self.book.open().late.saturating_record(at.elapsed().as_micros() as u64);
+            self.event_log.open().late.saturating_record(at.elapsed().as_micros() as u64);
             spawn_local(self.clone().send_new(front));
         }
     }
@@ -136,8 +135,8 @@
     async fn send_new(self: Rc<Self>, front: usize) {
         let (holds, object) = self.draw_request();
         let (_, deadline, aim, stretch) = if holds { HOLDS } else { MEDIA };
-        let place = {
-            let asked = &mut self.book.open().asked;
+        let index = {
+            let asked = &mut self.event_log.open().asked;
             asked.push(Asked {
                 at: self.tier.unix(),
                 front,
@@ -154,17 +153,17 @@
             });
             asked.len() - 1
         };
-        self.send(front, place, holds, false).await;
+        self.send(front, index, holds, false).await;
     }
 
     /// Sends a request to its front or, if that is not reachable, to another front of the location.
-    async fn send(self: Rc<Self>, front: usize, place: usize, holds: bool, again: bool) {
+    async fn send(self: Rc<Self>, front: usize, index: usize, holds: bool, is_retry: bool) {
         let mut at = front;
         for _ in 0..4 {
-            let there = &self.fronts[at];
-            if there.address.get().is_some() || there.lingers.get() {
-                match self.connection(at, again).await {
-                    Ok(connection) => return self.send_on(at, &connection, place, holds, again).await,
+            let target = &self.fronts[at];
+            if target.address.get().is_some() || target.keeps_connections.get() {
+                match self.connection(at, is_retry).await {
+                    Ok(connection) => return self.send_on(at, &connection, index, holds, is_retry).await,
                     Err(e) if e.kind() == io::ErrorKind::ConnectionRefused => self.record_refusal(at),
                     Err(_) => {}
                 }
@@ -181,33 +180,40 @@
             }
             at = others[self.random.borrow_mut().random_range(0..others.len())];
         }
-        self.book.open().asked[place].end = Some((self.tier.unix(), End::Unreached));
+        self.event_log.open().asked[index].end = Some((self.tier.unix(), End::Unreached));
     }
 
     /// Records a refused connection if a process of the front should have accepted it: not after SIGTERM, not
     /// after the test has killed it, and not if the rollout's new program is one that crashes.
     fn record_refusal(&self, front: usize) {
-        let there = &self.fronts[front];
+        let target = &self.fronts[front];
         let crashes = self.plan.rollout.as_ref().is_some_and(|rollout| rollout.crashes);
-        let killed = there.kills.get() != there.answered_after.get();
-        if there.address.get().is_some() && !killed && !crashes {
-            self.book.open().refused.push((self.tier.unix(), front));
+        let killed = target.kills.get() != target.answered_kills.get();
+        if target.address.get().is_some() && !killed && !crashes {
+            self.event_log.open().refused.push((self.tier.unix(), front));
         }
     }
 
     /// Sends a recorded request on this connection.
-    async fn send_on(&self, front: usize, connection: &Connection, place: usize, holds: bool, again: bool) {
+    async fn send_on(
+        &self,
+        front: usize,
+        connection: &Connection,
+        index: usize,
+        holds: bool,
+        is_retry: bool,
+    ) {
         let tag = connection.fresh_tag();
         let call = self.next_call.replace(self.next_call.get() + 1);
         let (object, deadline) = {
-            let mut seen = self.book.open();
+            let mut seen = self.event_log.open();
             // The latency of a request is measured from its last byte.
             let now = self.tier.unix();
-            seen.asked[place].at = now;
+            seen.asked[index].at = now;
             let made = now - connection.made.elapsed().as_secs_f64();
-            seen.asked[place].sent_on =
+            seen.asked[index].sent_on =
                 Some(SentOn { front, port: connection.local_port, made, closed: None });
-            (seen.asked[place].object, seen.asked[place].deadline)
+            (seen.asked[index].object, seen.asked[index].deadline)
         };
         let (class, ..) = if holds { HOLDS } else { MEDIA };
         let ttl = (deadline * 1000.0) as u64;
@@ -218,13 +224,13 @@
         );
         if holds {
             // All tries of one request share the deduplication key.
-            fields += &format!(",dedupe={:032x}", place as u64 + 1);
+            fields += &format!(",dedupe={:032x}", index as u64 + 1);
         }
         let tag_text = tag.to_string();
         let words = ["REQ", &tag_text, class, &fields, ""];
         let mut out = format!("*{}\r\n", words.len());
         words.iter().for_each(|w| out += &format!("${}\r\n{w}\r\n", w.len()));
-        connection.open.borrow_mut().insert(tag, (place, again));
+        connection.open.borrow_mut().insert(tag, (index, is_retry));
         let _ = connection.write.lock().await.write_all(out.as_bytes()).await;
     }
 
@@ -247,8 +253,7 @@
             && !connections.is_empty()
             && (connections.len() >= self.plan.clients.connections || !may_open)
         {
-            // The first usable connection takes the request, unless the plan has several connections per
-            // front.
+            // With several connections per front one of them is drawn; otherwise the first is used.
             let several = self.plan.clients.connections > 1;
             let drawn = if several { self.random.borrow_mut().random_range(0..connections.len()) } else { 0 };
             return Ok(connections[drawn].clone());
@@ -273,17 +278,17 @@
         let mut read = BufReader::new(read);
         while let Ok([tag, word, _, body]) = answer(&mut read).await {
             let tag = std::str::from_utf8(&tag).ok().and_then(|t| t.parse::<u64>().ok());
-            self.fronts[front].answered_after.set(kills);
+            self.fronts[front].answered_kills.set(kills);
             let now = self.tier.unix();
-            let mut seen = self.book.open();
-            let Some((place, _)) = tag.and_then(|t| connection.open.borrow_mut().remove(&t)) else {
+            let mut seen = self.event_log.open();
+            let Some((index, _)) = tag.and_then(|t| connection.open.borrow_mut().remove(&t)) else {
                 // A duplicate answer, or one without a request.
                 if let Some(last) = seen.asked.last_mut() {
                     last.again += 1;
                 }
                 continue;
             };
-            let asked = &mut seen.asked[place];
+            let asked = &mut seen.asked[index];
             let end = match &word[..] {
                 b"ok" => {
                     match read_body(&body) {
@@ -302,19 +307,19 @@
         }
         connection.ended.set(true);
         self.connections.borrow_mut()[front].retain(|c| !Rc::ptr_eq(c, &connection));
-        for (_, (place, again)) in connection.open.take() {
+        for (_, (index, is_retry)) in connection.open.take() {
             let now = self.tier.unix();
             let closed = now - connection.since_end().as_secs_f64();
             let (holds, raced_close) = {
-                let seen = self.book.open();
-                let a = &seen.asked[place];
-                let rig_late = seen.late.value_at_quantile(0.99) as f64 / 1e6;
-                (a.deadline == HOLDS.1, (closed - a.at).abs() < CLOSE_RACE_S + rig_late && !again)
+                let seen = self.event_log.open();
+                let a = &seen.asked[index];
+                let own_lateness = seen.late.value_at_quantile(0.99) as f64 / 1e6;
+                (a.deadline == HOLDS.1, (closed - a.at).abs() < CLOSE_RACE_S + own_lateness && !is_retry)
             };
             if raced_close {
-                spawn_local(self.clone().send(front, place, holds, true));
+                spawn_local(self.clone().send(front, index, holds, true));
             } else {
-                let asked = &mut self.book.open().asked[place];
+                let asked = &mut self.event_log.open().asked[index];
                 asked.end = Some((now, End::Lost));
                 asked.sent_on = asked.sent_on.map(|sent_on| SentOn { closed: Some(closed), ..sent_on });
                 asked.excused |= self.plan.rollout.as_ref().is_some_and(|r| r.crashes);
--- a/crates/lab/src/fleet/cycle.rs
+++ b/crates/lab/src/fleet/cycle.rs
@@ -38,10 +38,10 @@
 
     /// Runs one signal series on a front once the series before it is over, and records its time span.
     async fn run_series(self: Rc<Self>, front: usize, series: SignalSeries, gap: Duration) {
-        let _cycle_lock = self.fronts[front].cycle_turn.lock().await;
+        let _cycle_lock = self.fronts[front].cycle_lock.lock().await;
         let from = self.tier.unix();
         let index = {
-            let mut seen = self.book.open();
+            let mut seen = self.event_log.open();
             seen.cycles.push(Cycle { front, from, until: f64::MAX, series });
             seen.cycles.len() - 1
         };
@@ -68,24 +68,24 @@
             }
             SignalSeries::Hangups => self.reload_repeatedly(front, gap).await,
         }
-        self.book.open().cycles[index].until = self.tier.unix();
+        self.event_log.open().cycles[index].until = self.tier.unix();
     }
 
     /// Ends a front's process, and starts a successor once it has exited.
     async fn restart(self: &Rc<Self>, front: usize, further: &[Signal], gap: Duration) {
         let child = self.fronts[front].take_process();
-        self.fronts[front].lingers.set(true);
+        self.fronts[front].keeps_connections.set(true);
         let closed = spawn_local(self.clone().stop_new_connections(front));
         self.terminate(front, child, further, gap).await;
         let _ = closed.await;
-        self.fronts[front].lingers.set(false);
+        self.fronts[front].keeps_connections.set(false);
         self.start_successor(front).await;
     }
 
     /// Ends a front's process, and starts a successor while the old process is closing.
     async fn start_successor_while_closing(self: &Rc<Self>, front: usize, gap: Duration) {
         let child = self.fronts[front].take_process();
-        self.fronts[front].lingers.set(true);
+        self.fronts[front].keeps_connections.set(true);
         let fleet = self.clone();
         let ended = spawn_local(async move { fleet.terminate(front, child, &[], Duration::ZERO).await });
         let closed = spawn_local(self.clone().stop_new_connections(front));
@@ -94,7 +94,7 @@
         let _ = closed.await;
         self.start_successor(front).await;
         let _ = ended.await;
-        self.fronts[front].lingers.set(false);
+        self.fronts[front].keeps_connections.set(false);
     }
 
     /// Starts a successor beside a front's process, which is ended once the successor is ready.
@@ -183,6 +183,6 @@
     /// Records a process that did not start, run or exit as it should.
     fn record_wrong_end(&self, front: usize, what: String) {
         let at = self.tier.unix();
-        self.book.open().ends.push((at, front, what));
+        self.event_log.open().ends.push((at, front, what));
     }
 }
--- a/crates/lab/src/fleet/faults.rs
+++ b/crates/lab/src/fleet/faults.rs
@@ -38,11 +38,11 @@
                 let fronts = fleet.select_targets(&fault.fronts, fleet.plan.fronts);
                 let nodes = fleet.select_targets(&fault.nodes, fleet.plan.nodes);
                 sleep_until(at(fault.at)).await;
-                fleet.book.open().events.push(fleet.tier.unix());
+                fleet.event_log.open().events.push(fleet.tier.unix());
                 fleet.apply_fault(&fault, &fronts, &nodes, true).await;
                 sleep_until(at(fault.until)).await;
                 if fault.until > fault.at {
-                    fleet.book.open().events.push(fleet.tier.unix());
+                    fleet.event_log.open().events.push(fleet.tier.unix());
                 }
                 fleet.apply_fault(&fault, &fronts, &nodes, false).await;
             });
@@ -52,16 +52,16 @@
     /// Returns the places of the fronts or nodes that a target selects.
     fn select_targets(&self, target: &Target, count: usize) -> Vec<usize> {
         let all = 0..count;
-        let mut picked: Vec<usize> = match (&target.places[..], target.location) {
+        let mut selected: Vec<usize> = match (&target.places[..], target.location) {
             ([], Some(location)) => all.filter(|p| self.plan.location(*p) == location).collect(),
             ([], None) => all.collect(),
             (places, _) => places.to_vec(),
         };
         if let Some(share) = target.share {
-            picked.shuffle(&mut *self.random.borrow_mut());
-            picked.truncate((share * picked.len() as f64).round() as usize);
+            selected.shuffle(&mut *self.random.borrow_mut());
+            selected.truncate((share * selected.len() as f64).round() as usize);
         }
-        picked
+        selected
     }
 
     /// Draws a seed for a front process.
@@ -87,19 +87,19 @@
                 }
             }
             Kind::FrontReplaced | Kind::FrontRestarted if on => {
-                let replaced = fault.kind == Kind::FrontReplaced;
-                let gap = span / fronts.len().max(1) as u32;
+                let overlap = fault.kind == Kind::FrontReplaced;
+                let interval = span / fronts.len().max(1) as u32;
                 for &f in fronts {
                     let fleet = self.clone();
-                    spawn_local(async move { fleet.replace_process(f, replaced).await });
-                    sleep(gap).await;
+                    spawn_local(async move { fleet.replace_process(f, overlap).await });
+                    sleep(interval).await;
                 }
             }
             Kind::FrontReplaced | Kind::FrontRestarted => {}
             Kind::FrontCycled { series, gap_s } if on => self.cycle_each(fronts, series, gap_s, span).await,
             Kind::FrontCycled { .. } => {}
             Kind::Crowd { connections } if on => {
-                fronts.iter().for_each(|&f| crowd::gather(self, f, connections, span));
+                fronts.iter().for_each(|&f| crowd::open_connections(self, f, connections, span));
             }
             Kind::Crowd { .. } => {}
             Kind::MemoryScarce if on => {
@@ -149,7 +149,7 @@
             Kind::Hot { share } => self.clients.hot.set(if on { share } else { 0.0 }),
             Kind::Purged if on => {
                 let now = unix_ms();
-                self.book.open().purged.push(now as f64 / 1000.0);
+                self.event_log.open().purged.push(now as f64 / 1000.0);
                 for front in &self.fronts {
                     (0..256).for_each(|group| front.coordinator.purged_group(group, now));
                 }
@@ -174,7 +174,7 @@
         );
         if degrades_node && on {
             let (from, until) = (self.tier.unix(), self.tier.unix() + span.as_secs_f64());
-            self.book.open().troubled.extend(nodes.iter().map(|&n| (n, from, until)));
+            self.event_log.open().troubled.extend(nodes.iter().map(|&n| (n, from, until)));
         }
     }
 
@@ -195,9 +195,9 @@
     fn kill_rollout_fronts(&self, fronts: &[usize]) {
         let Some(rollout) = &self.rollout else { return };
         let started = super::rollout::processes(&rollout.name);
-        for &f in fronts {
-            self.clients.excuse_in_flight(f);
-            let front = &self.fronts[f];
+        for &place in fronts {
+            self.clients.excuse_in_flight(place);
+            let front = &self.fronts[place];
             front.kills.set(front.kills.get() + 1);
             front.signal(Signal::SIGKILL);
             for p in started.iter().filter(|p| p.front == front.name()) {
@@ -208,26 +208,26 @@
 
     /// Kills all of these fronts at once, or starts them again.
     fn kill_or_start_all(self: &Rc<Self>, fronts: &[usize], kill: bool) {
-        for &f in fronts {
+        for &place in fronts {
             let (fleet, seed) = (self.clone(), self.draw_seed());
             spawn_local(async move {
                 if kill {
-                    fleet.clients.excuse_in_flight(f);
-                    fleet.fronts[f].kill().await;
-                } else if let Err(e) = fleet.start_new_process(f, seed).await {
-                    fleet.fronts[f].crashed.set(true);
-                    eprintln!("onyxyoke-lab: front {f} failed to start: {e}");
+                    fleet.clients.excuse_in_flight(place);
+                    fleet.fronts[place].kill().await;
+                } else if let Err(e) = fleet.start_new_process(place, seed).await {
+                    fleet.fronts[place].crashed.set(true);
+                    eprintln!("onyxyoke-lab: front {place} failed to start: {e}");
                 }
             });
         }
     }
 
     /// Lowers and restores a front's memory limit in turn, for the whole span.
-    async fn alternate_memory_limit(&self, f: usize, span: Duration) {
+    async fn alternate_memory_limit(&self, place: usize, span: Duration) {
         let until = Instant::now() + span;
         while Instant::now() < until {
             for limit in [MemoryLimit::BelowProgram, MemoryLimit::Planned] {
-                self.fronts[f].limit_memory(limit);
+                self.fronts[place].limit_memory(limit);
                 sleep(MEMORY_LIMIT_CHANGE_INTERVAL).await;
             }
         }
@@ -237,19 +237,19 @@
     /// before it.
     pub(super) async fn start_new_process(
         &self,
-        f: usize,
+        place: usize,
         seed: u64,
     ) -> Result<Option<Child>, Box<dyn Error>> {
         let began = Instant::now();
-        let old = self.fronts[f].start(&self.tier, seed).await?;
-        let ready = timeout(Duration::from_secs_f64(READY.1), self.fronts[f].wait_until_ready()).await;
-        self.book.open().ready.push(ready.map_or(f64::INFINITY, |()| began.elapsed().as_secs_f64()));
+        let old = self.fronts[place].start(&self.tier, seed).await?;
+        let ready = timeout(Duration::from_secs_f64(READY.1), self.fronts[place].wait_until_ready()).await;
+        self.event_log.open().ready.push(ready.map_or(f64::INFINITY, |()| began.elapsed().as_secs_f64()));
         Ok(old)
     }
 
     /// Starts a new process of a front: beside the old one (`overlap`), or once the old one has exited.
-    async fn replace_process(&self, f: usize, overlap: bool) {
-        let front = &self.fronts[f];
+    async fn replace_process(&self, place: usize, overlap: bool) {
+        let front = &self.fronts[place];
         let seed = self.draw_seed();
         if !overlap {
             let ended = spawn_local({
@@ -262,7 +262,7 @@
                 front.crashed.set(true);
             }
         }
-        match self.start_new_process(f, seed).await {
+        match self.start_new_process(place, seed).await {
             Ok(old) => {
                 sleep(Duration::from_secs_f64(OVERLAP_S)).await;
                 if overlap && !terminate(old).await {
@@ -271,28 +271,28 @@
             }
             Err(e) => {
                 front.crashed.set(true);
-                eprintln!("onyxyoke-lab: front {f} failed to start: {e}");
+                eprintln!("onyxyoke-lab: front {place} failed to start: {e}");
             }
         }
     }
 
     /// Takes a node down (`down`), or brings it back empty and cold. The coordinators report the change after
     /// the plan's delay.
-    async fn set_node_down(&self, n: usize, kind: Kind, down: bool) {
-        let node = &self.tier.nodes[n];
+    async fn set_node_down(&self, place: usize, kind: Kind, down: bool) {
+        let node = &self.tier.nodes[place];
         let drained = kind == Kind::NodeDrained;
         if down {
             if !drained {
                 node.path(None, Path::Down);
             }
-            self.book.open().troubled.push((n, self.tier.unix(), f64::MAX));
+            self.event_log.open().troubled.push((place, self.tier.unix(), f64::MAX));
             if !drained {
                 sleep(Duration::from_secs_f64(self.plan.told_gone_s)).await;
             }
             // The node may be back by now, and the coordinators may have reported that already.
             if node.listed().0 == 0 {
                 node.list(if drained { 1 } else { 2 }, node.listed().1);
-                self.announce_node(n);
+                self.announce_node(place);
             }
             return;
         }
@@ -301,10 +301,10 @@
         let (from, time) = (self.cold.from, self.cold.time);
         node.set(|h| (h.started, h.cold) = (started as f64 / 1000.0, (from, time)));
         {
-            let mut seen = self.book.open();
-            seen.cold.push((n, started as f64 / 1000.0));
+            let mut seen = self.event_log.open();
+            seen.cold.push((place, started as f64 / 1000.0));
             let recovered_at = self.tier.unix();
-            if let Some(t) = seen.troubled.iter_mut().rev().find(|t| t.0 == n && t.2 == f64::MAX) {
+            if let Some(t) = seen.troubled.iter_mut().rev().find(|t| t.0 == place && t.2 == f64::MAX) {
                 t.2 = recovered_at;
             }
         }
@@ -313,48 +313,50 @@
         if kind == Kind::NodeReplaced {
             // The old id is removed for good; a node with a new id takes over the address.
             node.list(2, node.listed().1);
-            self.announce_node(n);
+            self.announce_node(place);
             if let Some(id) = self.unused_ids.borrow_mut().pop() {
-                let names = [(node.id(), (n, self.tier.unix())), (id, (n, f64::MAX))];
-                self.names.borrow_mut().extend(names);
+                let ids = [(node.id(), (place, self.tier.unix())), (id, (place, f64::MAX))];
+                self.node_ids.borrow_mut().extend(ids);
                 node.rename(id);
             }
         }
         node.list(0, started);
-        self.announce_node(n);
+        self.announce_node(place);
     }
 
     /// Sends the operators' command to every front of the node's location. A cordon counts as in force once
     /// the last front has accepted it, and as lifted from the first uncordon command on.
     async fn cordon(&self, nodes: &[usize], on: bool) {
-        for &n in nodes {
+        for &place in nodes {
             let command = if on { "cordon" } else { "uncordon" };
-            let first = self.tier.unix();
-            let line = format!("{command} s-{:08x}", self.tier.nodes[n].id());
-            for front in self.fronts.iter().filter(|f| self.plan.location(f.place) == self.plan.location(n)) {
+            let first_call_at = self.tier.unix();
+            let line = format!("{command} s-{:08x}", self.tier.nodes[place].id());
+            for front in
+                self.fronts.iter().filter(|f| self.plan.location(f.place) == self.plan.location(place))
+            {
                 if !front.send_command(&line).await {
-                    self.book.open().unheard += 1;
+                    self.event_log.open().unheard += 1;
                     eprintln!("onyxyoke-lab: front {} did not accept '{line}'", front.place);
                 }
             }
-            let at = if on { self.tier.unix() } else { first };
-            let mut seen = self.book.open();
-            seen.told.push(NotificationRecord { at, node: n, state: u8::from(on), front: None });
-            match seen.troubled.iter_mut().rev().find(|t| t.0 == n && t.2 == f64::MAX) {
+            let at = if on { self.tier.unix() } else { first_call_at };
+            let mut seen = self.event_log.open();
+            seen.told.push(NotificationRecord { at, node: place, state: u8::from(on), front: None });
+            match seen.troubled.iter_mut().rev().find(|t| t.0 == place && t.2 == f64::MAX) {
                 Some(t) if !on => t.2 = at,
-                _ => seen.troubled.push((n, at, f64::MAX)),
+                _ => seen.troubled.push((place, at, f64::MAX)),
             }
         }
     }
 
     /// Records the membership changes that each front was sent.
     pub fn record_notifications(&self) {
-        let names = self.names.borrow();
-        let mut seen = self.book.open();
+        let node_ids = self.node_ids.borrow();
+        let mut seen = self.event_log.open();
         for front in &self.fronts {
             let told = front.coordinator.heard().into_iter().filter_map(|(at, id, state)| {
                 // A late notification for a replaced id says nothing about the node that took its address.
-                let &(node, until) = names.get(&id)?;
+                let &(node, until) = node_ids.get(&id)?;
                 (at < until).then_some(NotificationRecord { at, node, state, front: Some(front.place) })
             });
             seen.told.extend(told);
@@ -362,18 +364,18 @@
     }
 
     /// Has the coordinators send their fronts the listed state of a node.
-    fn announce_node(&self, n: usize) {
-        let location = self.plan.location(n);
+    fn announce_node(&self, place: usize) {
+        let location = self.plan.location(place);
         let mut announced = false;
         for front in &self.fronts {
-            if let Some(member) = member(&self.tier, n, front.place, location) {
+            if let Some(member) = member(&self.tier, place, front.place, location) {
                 front.coordinator.changed(&[member]);
                 announced = true;
             }
         }
         if announced {
             let at = self.tier.unix();
-            self.book.open().events.push(at);
+            self.event_log.open().events.push(at);
         }
     }
 }
--- a/crates/lab/src/fleet/fronts.rs
+++ b/crates/lab/src/fleet/fronts.rs
@@ -80,19 +80,19 @@
     config: RefCell<Value>,
     child: RefCell<Option<Child>>,
     /// The process is expected to run, so that an exit of its own counts as a crash.
-    pub meant: Cell<bool>,
+    pub should_run: Cell<bool>,
     pub crashed: Cell<bool>,
     /// Clients keep using their open connections, though they open no new ones.
-    pub lingers: Cell<bool>,
+    pub keeps_connections: Cell<bool>,
     /// The times at which its processes got SIGTERM.
     pub terminations: Terminations,
     /// Locked during a series of signals, since the next series is meant for the process that this one
     /// leaves.
-    pub cycle_turn: Mutex<()>,
+    pub cycle_lock: Mutex<()>,
     /// How often the test killed all processes of a front that a rollout restarts, and the number of kills
     /// after which a client last got an answer. While the two differ, refused connections are expected.
     pub kills: Cell<u32>,
-    pub answered_after: Cell<u32>,
+    pub answered_kills: Cell<u32>,
 }
 
 impl Front {
@@ -144,13 +144,13 @@
             created_at: Instant::now(),
             config: RefCell::new(config),
             child: RefCell::new(None),
-            meant: Cell::new(false),
+            should_run: Cell::new(false),
             crashed: Cell::new(false),
-            lingers: Cell::new(false),
+            keeps_connections: Cell::new(false),
             terminations: Terminations::default(),
-            cycle_turn: Mutex::default(),
+            cycle_lock: Mutex::default(),
             kills: Cell::new(0),
-            answered_after: Cell::new(0),
+            answered_kills: Cell::new(0),
         }))
     }
 
@@ -193,7 +193,7 @@
         let address = line.rsplit(' ').next().and_then(|a| a.parse().ok()).ok_or(line)?;
         self.config.borrow_mut()["listen"] = json!(address);
         self.address.set(Some(address));
-        self.meant.set(true);
+        self.should_run.set(true);
         Ok(self.child.borrow_mut().replace(child))
     }
 
@@ -238,7 +238,7 @@
 
     /// Takes the newest process out, so that its exit no longer counts as a crash.
     pub fn take_process(&self) -> Option<Child> {
-        self.meant.set(false);
+        self.should_run.set(false);
         self.child.borrow_mut().take()
     }
 
@@ -291,7 +291,7 @@
 
     /// Leaves the front to a rollout, which may end the first process.
     pub fn hand_over(&self) {
-        self.meant.set(false);
+        self.should_run.set(false);
     }
 
     /// Sends an operator's command, and returns whether the front accepted it.
@@ -309,7 +309,7 @@
 
     /// Kills the newest process.
     pub async fn kill(&self) {
-        self.meant.set(false);
+        self.should_run.set(false);
         self.address.set(None);
         let child = self.child.borrow_mut().take();
         if let Some(mut child) = child {
@@ -320,7 +320,7 @@
     /// Ends the newest process with SIGTERM, as the platform does; clients open connections until it has
     /// exited. Returns whether its exit code was 0.
     pub async fn terminate(&self) -> bool {
-        self.meant.set(false);
+        self.should_run.set(false);
         let child = self.child.borrow_mut().take();
         let exited_well = terminate(child).await;
         self.address.set(None);
@@ -329,7 +329,7 @@
 
     /// Checks whether the process exited by itself.
     pub fn check_for_crash(&self) {
-        if let Some(child) = self.child.borrow_mut().as_mut().filter(|_| self.meant.get())
+        if let Some(child) = self.child.borrow_mut().as_mut().filter(|_| self.should_run.get())
             && !matches!(child.try_wait(), Ok(None))
         {
             self.crashed.set(true);
--- a/crates/lab/src/fleet/rollout.rs
+++ b/crates/lab/src/fleet/rollout.rs
@@ -1,5 +1,5 @@
-//! A rollout over the fronts of a fleet: `onyxyoke-rollout` as a process, killed and stopped as the plan says, and judged
-//! by which processes run in the end, not by what it says of itself.
+//! A rollout over the fronts of a fleet: runs `onyxyoke-rollout` as a process, kills and stops it as the plan
+//! says, and judges it by the processes that run at the end rather than by its own reports.
 
 use super::Fleet;
 use super::plan::Rollout;
@@ -15,38 +15,39 @@
 use tokio::process::{Child, Command};
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// Looked at this often.
-const LOOK: Duration = Duration::from_millis(20);
-/// Processes that were told to end have so long.
-const ENDING: Duration = Duration::from_secs(6);
+/// Interval between checks of the processes.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Timeout of the exit of processes after SIGTERM.
+const EXIT_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// A process that a rollout started: its front's name, its number, and what it is to run.
+/// A process that a rollout started: its id, its front's name, and whether it belongs to the new side.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Started {
+pub struct RolloutProcess {
     pub pid: i32,
     pub front: String,
     pub new: bool,
 }
 
-/// All processes of the rollout of this name that run, by what their environment says.
-pub fn processes(name: &str) -> Vec<Started> {
+/// Returns the running processes of the rollout of this name, found by the `ONYXYOKE_RUN` of their
+/// environments.
+pub fn processes(name: &str) -> Vec<RolloutProcess> {
     let mut found = Vec::new();
     for entry in std::fs::read_dir("/proc").into_iter().flatten().flatten() {
         let Some(pid) = entry.file_name().to_str().and_then(|n| n.parse::<i32>().ok()) else { continue };
         let Ok(environ) = std::fs::read(entry.path().join("environ")) else { continue };
         let text = String::from_utf8_lossy(&environ);
-        let Some(named) = text.split('\0').find_map(|v| v.strip_prefix("ONYXYOKE_RUN=")) else { continue };
-        let words: Vec<&str> = named.split(' ').collect();
+        let Some(run) = text.split('\0').find_map(|v| v.strip_prefix("ONYXYOKE_RUN=")) else { continue };
+        let words: Vec<&str> = run.split(' ').collect();
         if let [rollout, front, _, side] = words[..]
             && rollout == name
         {
-            found.push(Started { pid, front: front.to_owned(), new: side == "New" });
+            found.push(RolloutProcess { pid, front: front.to_owned(), new: side == "New" });
         }
     }
     found
 }
 
-/// Ends whatever a rollout started, when a rig ends however it ends.
+/// Kills all processes of the rollout of this name on drop, however the test ends.
 pub struct ProcessCleanup(pub String);
 
 impl Drop for ProcessCleanup {
@@ -57,41 +58,44 @@
     }
 }
 
-/// One rollout, driven.
+/// One run of a rollout over the fleet.
 pub struct RolloutRun {
     spec: Rollout,
     pub name: String,
     folder: PathBuf,
     tool: RefCell<Option<Child>>,
-    /// Its exit code, once it ended by itself; how often it was killed.
-    pub code: Cell<Option<i32>>,
-    pub killed: Cell<usize>,
+    /// The tool's exit code, once it has exited by itself.
+    pub exit_code: Cell<Option<i32>>,
+    /// How often the tool was killed.
+    pub kills: Cell<usize>,
 }
 
 impl RolloutRun {
     pub fn new(spec: &Rollout, name: String, folder: &Path) -> Rc<RolloutRun> {
         let folder = folder.join("rollout");
-        let (tool, code, killed) = (RefCell::new(None), Cell::new(None), Cell::new(0));
-        Rc::new(RolloutRun { spec: spec.clone(), name, folder, tool, code, killed })
+        let (tool, exit_code, kills) = (RefCell::new(None), Cell::new(None), Cell::new(0));
+        Rc::new(RolloutRun { spec: spec.clone(), name, folder, tool, exit_code, kills })
     }
 
-    /// Writes the tool's plan: the fronts as they run now.
-    pub fn write(&self, fleet: &Fleet) -> Result<(), Box<dyn Error>> {
+    /// Writes the tool's plan for the fronts that run now.
+    pub fn write_plan(&self, fleet: &Fleet) -> Result<(), Box<dyn Error>> {
         std::fs::create_dir_all(&self.folder)?;
         let mut fronts = Vec::new();
         for front in &fleet.fronts {
             let config = front.settings_file();
-            let mut one = json!({"name": front.name(), "location": format!("branch{}", fleet.plan.location(front.place)),
-                "operators": front.operators().ok_or("a front answers no operators")?, "settings": config,
+            let location = format!("branch{}", fleet.plan.location(front.place));
+            let operators = front.operators().ok_or("a front accepts no operators' commands")?;
+            let mut entry = json!({"name": front.name(), "location": location,
+                "operators": operators, "settings": config,
                 "folder": front.folder()});
             if let Some(patch) = &self.spec.settings {
                 let mut settings: Value = serde_json::from_str(&std::fs::read_to_string(&config)?)?;
                 merge(&mut settings, patch);
                 let path = config.with_extension("new.json");
                 std::fs::write(&path, settings.to_string())?;
-                one["new_settings"] = json!(path);
+                entry["new_settings"] = json!(path);
             }
-            fronts.push(one);
+            fronts.push(entry);
         }
         let old = fleet.fronts[0].program();
         let new = self.spec.program.clone().unwrap_or_else(|| old.clone());
@@ -103,7 +107,8 @@
         Ok(())
     }
 
-    fn start(&self) -> Result<(), Box<dyn Error>> {
+    /// Starts the tool, or starts it again from its saved state.
+    fn start_tool(&self) -> Result<(), Box<dyn Error>> {
         let tool = std::env::current_exe()?.with_file_name("onyxyoke-rollout");
         let log = std::fs::OpenOptions::new().create(true).append(true).open(self.folder.join("log"))?;
         let child = Command::new(&tool)
@@ -116,79 +121,81 @@
             .stderr(log)
             .kill_on_drop(true)
             .spawn()
-            .map_err(|e| format!("'{}' does not start: {e}", tool.display()))?;
+            .map_err(|e| format!("cannot start '{}': {e}", tool.display()))?;
         self.tool.replace(Some(child));
         Ok(())
     }
 
-    fn signal(&self, signal: Signal) {
+    fn signal_tool(&self, signal: Signal) {
         if let Some(id) = self.tool.borrow().as_ref().and_then(Child::id) {
             let _ = kill(Pid::from_raw(id as i32), signal);
         }
     }
 
-    fn reloads(&self) -> bool {
+    /// Returns whether the rollout reloads settings instead of replacing processes.
+    fn is_reload(&self) -> bool {
         self.spec.limits.get("reload") == Some(&Value::Bool(true))
     }
 
-    fn records(&self) -> usize {
+    /// Number of records in the tool's journal.
+    fn journal_records(&self) -> usize {
         let text = std::fs::read(self.folder.join("state").join("journal")).unwrap_or_default();
         text.iter().filter(|b| **b == b'\n').count()
     }
 
-    /// What the tool logged.
+    /// The tool's log.
     pub fn log(&self) -> String {
         std::fs::read_to_string(self.folder.join("log")).unwrap_or_default()
     }
 
-    /// Runs the tool until it ends by itself: killed once its journal has so many records, and started again; stopped
-    /// and going on; told words.
-    pub async fn drive(self: Rc<Self>, begun: Instant) -> Result<(), Box<dyn Error>> {
-        sleep_until(begun + Duration::from_secs_f64(self.spec.at)).await;
-        let mut kills = self.spec.killed_at.clone();
-        kills.sort_unstable();
-        let mut kills = kills.into_iter().peekable();
-        let mut words = self.spec.words.clone();
+    /// Runs the tool until it exits by itself. Meanwhile kills and restarts it at the planned numbers of
+    /// journal records, stops and continues it, and runs the operators' commands of the plan.
+    pub async fn control(self: Rc<Self>, started_at: Instant) -> Result<(), Box<dyn Error>> {
+        sleep_until(started_at + Duration::from_secs_f64(self.spec.at)).await;
+        let mut kill_counts = self.spec.killed_at.clone();
+        kill_counts.sort_unstable();
+        let mut kill_counts = kill_counts.into_iter().peekable();
+        let mut commands = self.spec.words.clone();
         let mut stopped = self.spec.stopped;
-        self.start()?;
+        self.start_tool()?;
         loop {
-            sleep(LOOK).await;
-            let passed = begun.elapsed().as_secs_f64() - self.spec.at;
-            let ended = self.tool.borrow_mut().as_mut().and_then(|t| t.try_wait().ok().flatten());
-            if let Some(status) = ended {
-                self.code.set(Some(status.code().unwrap_or(-1)));
+            sleep(POLL_INTERVAL).await;
+            let passed = started_at.elapsed().as_secs_f64() - self.spec.at;
+            let exit = self.tool.borrow_mut().as_mut().and_then(|t| t.try_wait().ok().flatten());
+            if let Some(status) = exit {
+                self.exit_code.set(Some(status.code().unwrap_or(-1)));
                 return Ok(());
             }
-            if kills.next_if(|n| self.records() >= *n).is_some() {
-                self.signal(Signal::SIGKILL);
+            if kill_counts.next_if(|n| self.journal_records() >= *n).is_some() {
+                self.signal_tool(Signal::SIGKILL);
                 let tool = self.tool.borrow_mut().take();
                 if let Some(mut tool) = tool {
                     let _ = tool.wait().await;
                 }
-                self.killed.set(self.killed.get() + 1);
-                self.start()?;
+                self.kills.set(self.kills.get() + 1);
+                self.start_tool()?;
             }
             if let Some((from, until)) = stopped {
                 if passed >= until {
-                    self.signal(Signal::SIGCONT);
+                    self.signal_tool(Signal::SIGCONT);
                     stopped = None;
                 } else if passed >= from {
-                    self.signal(Signal::SIGSTOP);
+                    self.signal_tool(Signal::SIGSTOP);
                 }
             }
-            if let Some(at) = words.iter().position(|w| passed >= w.0) {
-                let (_, word) = words.remove(at);
+            if let Some(index) = commands.iter().position(|c| passed >= c.0) {
+                let (_, command) = commands.remove(index);
                 let tool = std::env::current_exe()?.with_file_name("onyxyoke-rollout");
                 let state = self.folder.join("state");
-                let said = Command::new(tool).arg("--state").arg(state).arg(&word).output().await?;
-                if !said.status.success() {
-                    return Err(format!("'{word}': {}", String::from_utf8_lossy(&said.stderr)).into());
+                let output = Command::new(tool).arg("--state").arg(state).arg(&command).output().await?;
+                if !output.status.success() {
+                    return Err(format!("'{command}': {}", String::from_utf8_lossy(&output.stderr)).into());
                 }
             }
         }
     }
 
-    /// What does not hold: how it ended, and which processes run now.
+    /// Returns what is wrong with the end of the rollout and with the processes that run now.
     pub fn judge(&self, fleet: &Fleet) -> Vec<String> {
         let mut wrong = Vec::new();
         let name = |code| match code {
@@ -199,7 +206,7 @@
             Some(_) => "not run",
             None => "not over",
         };
-        let end = name(self.code.get());
+        let end = name(self.exit_code.get());
         if let Some(wanted) = &self.spec.end
             && wanted != end
         {
@@ -207,49 +214,55 @@
         }
         let running = processes(&self.name);
         for front in &fleet.fronts {
-            let mine: Vec<&Started> = running.iter().filter(|p| p.front == front.name()).collect();
-            let first = front.is_running();
+            let started: Vec<&RolloutProcess> = running.iter().filter(|p| p.front == front.name()).collect();
+            let first_runs = front.is_running();
             let reloaded = || {
                 let file = |path: &Path| std::fs::read(path).ok();
                 let settings = front.settings_file();
                 file(&settings) == file(&settings.with_extension("new.json"))
             };
-            let held = match end {
-                // One process, whoever started it, and the new settings in its file: it said that it has read them.
-                "done" if self.reloads() => mine.len() + usize::from(first) == 1 && reloaded(),
-                "done" => !first && mine.len() == 1 && mine[0].new,
-                "stopped" | "aborted" => mine.len() + usize::from(first) == 1 && mine.iter().all(|p| !p.new),
+            let as_expected = match end {
+                // One process, started by the test or by the rollout, and the new settings in its file, which
+                // it has confirmed to have read.
+                "done" if self.is_reload() => started.len() + usize::from(first_runs) == 1 && reloaded(),
+                "done" => !first_runs && started.len() == 1 && started[0].new,
+                "stopped" | "aborted" => {
+                    started.len() + usize::from(first_runs) == 1 && started.iter().all(|p| !p.new)
+                }
                 _ => true,
             };
-            if !held {
-                wrong.push(format!("{end}, and front {} runs {mine:?}, its first one {first}", front.place));
+            if !as_expected {
+                wrong.push(format!(
+                    "the rollout is '{end}', but front {} runs {started:?}, its first process: {first_runs}",
+                    front.place
+                ));
             }
         }
-        if self.killed.get() < self.spec.killed_at.len() {
-            wrong.push(format!("the tool was killed {} times only", self.killed.get()));
+        if self.kills.get() < self.spec.killed_at.len() {
+            wrong.push(format!("the tool was killed only {} times", self.kills.get()));
         }
         wrong
     }
 
-    /// Ends every process by SIGTERM; those whose exit is late.
-    pub async fn end(&self) -> usize {
+    /// Ends all processes of the rollout with SIGTERM, and returns how many still run at the timeout.
+    pub async fn end_processes(&self) -> usize {
         for p in processes(&self.name) {
             let _ = kill(Pid::from_raw(p.pid), Signal::SIGTERM);
         }
-        let by = Instant::now() + ENDING;
-        while !processes(&self.name).is_empty() && Instant::now() < by {
-            sleep(LOOK).await;
+        let deadline = Instant::now() + EXIT_TIMEOUT;
+        while !processes(&self.name).is_empty() && Instant::now() < deadline {
+            sleep(POLL_INTERVAL).await;
         }
         processes(&self.name).len()
     }
 
-    /// Where its figures are kept.
+    /// The folder of the tool's plan, log and state.
     pub fn folder(&self) -> &Path {
         &self.folder
     }
 }
 
-/// Changes a tree by another: what it names is replaced.
+/// Merges a JSON patch into a tree: values that the patch names are replaced.
 fn merge(tree: &mut Value, patch: &Value) {
     match (tree, patch) {
         (Value::Object(tree), Value::Object(patch)) => {
