--- a/crates/lab/src/connection.rs
+++ b/crates/lab/src/connection.rs
@@ -20,7 +20,7 @@
     pub open: RefCell<HashMap<u64, T>>,
     next_tag: Cell<u64>,
     /// Time at which the connection was established.
-    pub made: Instant,
+    pub connected_at: Instant,
     /// The client's port, which identifies the connection in the front's log.
     pub local_port: u16,
     /// Whether the client has finished reading.
@@ -50,7 +50,7 @@
             write: Mutex::new(write),
             open: RefCell::default(),
             next_tag: Cell::new(1),
-            made: Instant::now(),
+            connected_at: Instant::now(),
             local_port,
             ended: Cell::new(false),
             end_arrived_at: Cell::default(),
@@ -64,12 +64,12 @@
 
     /// Returns the time since the front's end of stream arrived; zero if it wasn't recorded, as without a
     /// pace, where the end is read on arrival.
-    pub fn since_end(&self) -> Duration {
+    pub fn time_since_end(&self) -> Duration {
         self.end_arrived_at.get().map_or(Duration::ZERO, |at| at.elapsed())
     }
 
     /// Returns a tag that no request of this connection has had.
-    pub fn fresh_tag(&self) -> u64 {
+    pub fn allocate_tag(&self) -> u64 {
         self.next_tag.replace(self.next_tag.get() + 1)
     }
 }
--- a/crates/lab/src/emulate/mod.rs
+++ b/crates/lab/src/emulate/mod.rs
@@ -70,7 +70,7 @@
 
 /// Returns the settings of the operator's example.
 fn operator_settings() -> Result<Settings, Box<dyn Error>> {
-    let operator: serde_json::Value = toml::from_str(crate::OPERATOR)?;
+    let operator: serde_json::Value = toml::from_str(crate::OPERATOR_EXAMPLE)?;
     Ok(onyxyoke::config::settings(operator["settings"].to_string().as_bytes())?)
 }
 
--- a/crates/lab/src/emulate/world/attempts.rs
+++ b/crates/lab/src/emulate/world/attempts.rs
@@ -130,7 +130,7 @@
         if self.caches[cache].link.version != version {
             return;
         }
-        for id in self.caches[cache].link.whole(self.schedule.now()) {
+        for id in self.caches[cache].link.take_complete(self.schedule.now()) {
             if let Some(transfer) = self.transfers.remove(id) {
                 self.end_attempt_after(ONE_WAY_S, transfer, Outcome::Ok);
             }
--- a/crates/lab/src/fleet/clients.rs
+++ b/crates/lab/src/fleet/clients.rs
@@ -3,7 +3,7 @@
 
 use super::fronts::Front;
 use super::plan::Plan;
-use super::record::{Asked, End, EventLog, SentOn};
+use super::record::{End, EventLog, RequestRecord, SentOn};
 use crate::connection::ClientConnection;
 use crate::paced::PacedReader;
 use crate::soak::clients::answer;
@@ -94,7 +94,7 @@
         for (index, _) in
             connections[front].iter().flat_map(|c| c.open.borrow().values().copied().collect::<Vec<_>>())
         {
-            seen.asked[index].excused = true;
+            seen.requests[index].excused = true;
         }
     }
 
@@ -136,9 +136,9 @@
         let (holds, object) = self.draw_request();
         let (_, deadline, aim, stretch) = if holds { HOLDS } else { MEDIA };
         let index = {
-            let asked = &mut self.event_log.open().asked;
-            asked.push(Asked {
-                at: self.tier.unix(),
+            let asked = &mut self.event_log.open().requests;
+            asked.push(RequestRecord {
+                at: self.tier.unix_seconds(),
                 front,
                 sent_on: None,
                 aim: aim + stretch * work(object),
@@ -146,8 +146,8 @@
                 object,
                 end: None,
                 made: None,
-                again: 0,
-                spoilt: false,
+                extra_answers: 0,
+                corrupted: false,
                 excused: false,
                 paced: self.plan.clients.pace.is_some(),
             });
@@ -180,7 +180,7 @@
             }
             at = others[self.random.borrow_mut().random_range(0..others.len())];
         }
-        self.event_log.open().asked[index].end = Some((self.tier.unix(), End::Unreached));
+        self.event_log.open().requests[index].end = Some((self.tier.unix_seconds(), End::Unreached));
     }
 
     /// Records a refused connection if a process of the front should have accepted it: not after SIGTERM, not
@@ -190,7 +190,7 @@
         let crashes = self.plan.rollout.as_ref().is_some_and(|rollout| rollout.crashes);
         let killed = target.kills.get() != target.answered_kills.get();
         if target.address.get().is_some() && !killed && !crashes {
-            self.event_log.open().refused.push((self.tier.unix(), front));
+            self.event_log.open().refused.push((self.tier.unix_seconds(), front));
         }
     }
 
@@ -203,17 +203,17 @@
         holds: bool,
         is_retry: bool,
     ) {
-        let tag = connection.fresh_tag();
+        let tag = connection.allocate_tag();
         let call = self.next_call.replace(self.next_call.get() + 1);
         let (object, deadline) = {
             let mut seen = self.event_log.open();
             // The latency of a request is measured from its last byte.
-            let now = self.tier.unix();
-            seen.asked[index].at = now;
-            let made = now - connection.made.elapsed().as_secs_f64();
-            seen.asked[index].sent_on =
+            let now = self.tier.unix_seconds();
+            seen.requests[index].at = now;
+            let made = now - connection.connected_at.elapsed().as_secs_f64();
+            seen.requests[index].sent_on =
                 Some(SentOn { front, port: connection.local_port, made, closed: None });
-            (seen.asked[index].object, seen.asked[index].deadline)
+            (seen.requests[index].object, seen.requests[index].deadline)
         };
         let (class, ..) = if holds { HOLDS } else { MEDIA };
         let ttl = (deadline * 1000.0) as u64;
@@ -237,8 +237,9 @@
     /// Returns whether a connection may take another request. Clients use a connection until it closes.
     /// Clients that read slowly don't see the close in time, so they stop at the time that the platform sets.
     fn is_usable(&self, front: usize, connection: &Connection) -> bool {
-        let closing =
-            self.fronts[front].terminations.end_requests(connection.made, std::time::Instant::now());
+        let closing = self.fronts[front]
+            .terminations
+            .has_no_more_requests(connection.connected_at, std::time::Instant::now());
         let may_send = self.plan.clients.pace.is_none() || !closing;
         may_send && !connection.ended.get() && connection.open.borrow().len() < MAX_IN_FLIGHT
     }
@@ -279,47 +280,47 @@
         while let Ok([tag, word, _, body]) = answer(&mut read).await {
             let tag = std::str::from_utf8(&tag).ok().and_then(|t| t.parse::<u64>().ok());
             self.fronts[front].answered_kills.set(kills);
-            let now = self.tier.unix();
+            let now = self.tier.unix_seconds();
             let mut seen = self.event_log.open();
             let Some((index, _)) = tag.and_then(|t| connection.open.borrow_mut().remove(&t)) else {
                 // A duplicate answer, or one without a request.
-                if let Some(last) = seen.asked.last_mut() {
-                    last.again += 1;
+                if let Some(last) = seen.requests.last_mut() {
+                    last.extra_answers += 1;
                 }
                 continue;
             };
-            let asked = &mut seen.asked[index];
+            let asked = &mut seen.requests[index];
             let end = match &word[..] {
                 b"ok" => {
                     match read_body(&body) {
                         Some((object, made)) if object == asked.object => {
                             asked.made = Some(made as f64 / 1000.0)
                         }
-                        _ => asked.spoilt = true,
+                        _ => asked.corrupted = true,
                     }
                     End::Served
                 }
                 b"full" => End::Refused,
                 _ => End::Failed,
             };
-            asked.again += u32::from(asked.end.is_some());
+            asked.extra_answers += u32::from(asked.end.is_some());
             asked.end.get_or_insert((now, end));
         }
         connection.ended.set(true);
         self.connections.borrow_mut()[front].retain(|c| !Rc::ptr_eq(c, &connection));
         for (_, (index, is_retry)) in connection.open.take() {
-            let now = self.tier.unix();
-            let closed = now - connection.since_end().as_secs_f64();
+            let now = self.tier.unix_seconds();
+            let closed = now - connection.time_since_end().as_secs_f64();
             let (holds, raced_close) = {
                 let seen = self.event_log.open();
-                let a = &seen.asked[index];
+                let a = &seen.requests[index];
                 let own_lateness = seen.late.value_at_quantile(0.99) as f64 / 1e6;
                 (a.deadline == HOLDS.1, (closed - a.at).abs() < CLOSE_RACE_S + own_lateness && !is_retry)
             };
             if raced_close {
                 spawn_local(self.clone().send(front, index, holds, true));
             } else {
-                let asked = &mut self.event_log.open().asked[index];
+                let asked = &mut self.event_log.open().requests[index];
                 asked.end = Some((now, End::Lost));
                 asked.sent_on = asked.sent_on.map(|sent_on| SentOn { closed: Some(closed), ..sent_on });
                 asked.excused |= self.plan.rollout.as_ref().is_some_and(|r| r.crashes);
--- a/crates/lab/src/fleet/cycle.rs
+++ b/crates/lab/src/fleet/cycle.rs
@@ -2,7 +2,7 @@
 //! the start of a successor.
 
 use super::Fleet;
-use super::faults::{COMING, OVERLAP_S};
+use super::faults::{NEW_CONNECTIONS_AFTER_TERM_S, OVERLAP_S};
 use super::fronts::send_signal;
 use super::plan::SignalSeries;
 use super::record::Cycle;
@@ -39,7 +39,7 @@
     /// Runs one signal series on a front once the series before it is over, and records its time span.
     async fn run_series(self: Rc<Self>, front: usize, series: SignalSeries, gap: Duration) {
         let _cycle_lock = self.fronts[front].cycle_lock.lock().await;
-        let from = self.tier.unix();
+        let from = self.tier.unix_seconds();
         let index = {
             let mut seen = self.event_log.open();
             seen.cycles.push(Cycle { front, from, until: f64::MAX, series });
@@ -68,7 +68,7 @@
             }
             SignalSeries::Hangups => self.reload_repeatedly(front, gap).await,
         }
-        self.event_log.open().cycles[index].until = self.tier.unix();
+        self.event_log.open().cycles[index].until = self.tier.unix_seconds();
     }
 
     /// Ends a front's process, and starts a successor once it has exited.
@@ -130,7 +130,7 @@
 
     /// Lets clients open connections for a while after a front's SIGTERM, and stops them then.
     async fn stop_new_connections(self: Rc<Self>, front: usize) {
-        sleep(Duration::from_secs_f64(COMING)).await;
+        sleep(Duration::from_secs_f64(NEW_CONNECTIONS_AFTER_TERM_S)).await;
         self.fronts[front].address.set(None);
     }
 
@@ -144,7 +144,7 @@
             return self.record_wrong_end(front, "it ended by itself".into());
         }
         send_signal(&child, Signal::SIGTERM);
-        self.fronts[front].terminations.note(std::time::Instant::now());
+        self.fronts[front].terminations.record(std::time::Instant::now());
         let kill_at = Instant::now() + EARLIEST_KILL;
         for &signal in further {
             sleep(gap).await;
@@ -182,7 +182,7 @@
 
     /// Records a process that did not start, run or exit as it should.
     fn record_wrong_end(&self, front: usize, what: String) {
-        let at = self.tier.unix();
-        self.event_log.open().ends.push((at, front, what));
+        let at = self.tier.unix_seconds();
+        self.event_log.open().failed_ends.push((at, front, what));
     }
 }
--- a/crates/lab/src/fleet/faults.rs
+++ b/crates/lab/src/fleet/faults.rs
@@ -5,7 +5,7 @@
 use super::fronts::{MemoryLimit, member, terminate};
 use super::plan::{Fault, Kind, Target};
 use super::record::NotificationRecord;
-use super::verdict::READY;
+use super::verdict::READY_MAX_S;
 use nix::sys::signal::Signal;
 use onyxyoke_stand_ins::fleet::{Health, Path};
 use onyxyoke_stand_ins::unix_ms;
@@ -21,7 +21,7 @@
 /// Delay until the cache nodes drop purged copies by themselves; the settings allow them six seconds.
 const PURGE_DELAY: Duration = Duration::from_secs(5);
 /// Clients still open new connections for this time after a front's SIGTERM (seconds).
-pub(super) const COMING: f64 = 0.4;
+pub(super) const NEW_CONNECTIONS_AFTER_TERM_S: f64 = 0.4;
 /// A lowered memory limit is restored after this time, and lowered again after the same time.
 const MEMORY_LIMIT_CHANGE_INTERVAL: Duration = Duration::from_millis(1_700);
 /// A successor process serves beside the old process for this time before the old one gets SIGTERM (seconds).
@@ -38,11 +38,11 @@
                 let fronts = fleet.select_targets(&fault.fronts, fleet.plan.fronts);
                 let nodes = fleet.select_targets(&fault.nodes, fleet.plan.nodes);
                 sleep_until(at(fault.at)).await;
-                fleet.event_log.open().events.push(fleet.tier.unix());
+                fleet.event_log.open().events.push(fleet.tier.unix_seconds());
                 fleet.apply_fault(&fault, &fronts, &nodes, true).await;
                 sleep_until(at(fault.until)).await;
                 if fault.until > fault.at {
-                    fleet.event_log.open().events.push(fleet.tier.unix());
+                    fleet.event_log.open().events.push(fleet.tier.unix_seconds());
                 }
                 fleet.apply_fault(&fault, &fronts, &nodes, false).await;
             });
@@ -137,13 +137,13 @@
             Kind::NodeBreaking { share } => {
                 self.set_health(nodes, |h| h.breaking = if on { share } else { 0.0 });
             }
-            Kind::NewsLate => fronts.iter().for_each(|&f| self.fronts[f].coordinator.hold(on)),
-            Kind::NewsCut => fronts.iter().for_each(|&f| self.fronts[f].coordinator.cut(on)),
-            Kind::NewsSilent => fronts.iter().for_each(|&f| self.fronts[f].coordinator.silence(on)),
-            Kind::NewsRepeated => fronts.iter().for_each(|&f| self.fronts[f].coordinator.repeat(on)),
+            Kind::NewsLate => fronts.iter().for_each(|&f| self.fronts[f].coordinator.delay_events(on)),
+            Kind::NewsCut => fronts.iter().for_each(|&f| self.fronts[f].coordinator.close_connections(on)),
+            Kind::NewsSilent => fronts.iter().for_each(|&f| self.fronts[f].coordinator.suspend_sending(on)),
+            Kind::NewsRepeated => fronts.iter().for_each(|&f| self.fronts[f].coordinator.repeat_events(on)),
             Kind::NewsPartial => {
                 let ids: Vec<u32> = nodes.iter().filter(|_| on).map(|&n| self.tier.nodes[n].id()).collect();
-                fronts.iter().for_each(|&f| self.fronts[f].coordinator.leave_out(ids.clone()));
+                fronts.iter().for_each(|&f| self.fronts[f].coordinator.withhold_updates(ids.clone()));
             }
             Kind::Burst { times } => self.clients.load.set(if on { times } else { 1.0 }),
             Kind::Hot { share } => self.clients.hot.set(if on { share } else { 0.0 }),
@@ -151,12 +151,12 @@
                 let now = unix_ms();
                 self.event_log.open().purged.push(now as f64 / 1000.0);
                 for front in &self.fronts {
-                    (0..256).for_each(|group| front.coordinator.purged_group(group, now));
+                    (0..256).for_each(|group| front.coordinator.publish_group_purge(group, now));
                 }
                 let fleet = self.clone();
                 spawn_local(async move {
                     sleep(PURGE_DELAY).await;
-                    fleet.tier.nodes.iter().for_each(|n| n.forget(now));
+                    fleet.tier.nodes.iter().for_each(|n| n.delete_copies_before(now));
                 });
             }
             Kind::Purged => {}
@@ -173,16 +173,16 @@
                 | Kind::PathHalfOpen { .. }
         );
         if degrades_node && on {
-            let (from, until) = (self.tier.unix(), self.tier.unix() + span.as_secs_f64());
-            self.event_log.open().troubled.extend(nodes.iter().map(|&n| (n, from, until)));
+            let (from, until) = (self.tier.unix_seconds(), self.tier.unix_seconds() + span.as_secs_f64());
+            self.event_log.open().impairments.extend(nodes.iter().map(|&n| (n, from, until)));
         }
     }
 
     fn set_paths(&self, fronts: Option<&[usize]>, nodes: &[usize], path: Path) {
         for &n in nodes {
             match fronts {
-                None => self.tier.nodes[n].path(None, path),
-                Some(fronts) => fronts.iter().for_each(|&f| self.tier.nodes[n].path(Some(f), path)),
+                None => self.tier.nodes[n].set_path(None, path),
+                Some(fronts) => fronts.iter().for_each(|&f| self.tier.nodes[n].set_path(Some(f), path)),
             }
         }
     }
@@ -242,7 +242,8 @@
     ) -> Result<Option<Child>, Box<dyn Error>> {
         let began = Instant::now();
         let old = self.fronts[place].start(&self.tier, seed).await?;
-        let ready = timeout(Duration::from_secs_f64(READY.1), self.fronts[place].wait_until_ready()).await;
+        let ready =
+            timeout(Duration::from_secs_f64(READY_MAX_S), self.fronts[place].wait_until_ready()).await;
         self.event_log.open().ready.push(ready.map_or(f64::INFINITY, |()| began.elapsed().as_secs_f64()));
         Ok(old)
     }
@@ -256,7 +257,7 @@
                 let front = front.clone();
                 async move { front.terminate().await }
             });
-            sleep(Duration::from_secs_f64(COMING)).await;
+            sleep(Duration::from_secs_f64(NEW_CONNECTIONS_AFTER_TERM_S)).await;
             front.address.set(None);
             if !ended.await.unwrap_or(false) {
                 front.crashed.set(true);
@@ -283,44 +284,44 @@
         let drained = kind == Kind::NodeDrained;
         if down {
             if !drained {
-                node.path(None, Path::Down);
+                node.set_path(None, Path::Down);
             }
-            self.event_log.open().troubled.push((place, self.tier.unix(), f64::MAX));
+            self.event_log.open().impairments.push((place, self.tier.unix_seconds(), f64::MAX));
             if !drained {
                 sleep(Duration::from_secs_f64(self.plan.told_gone_s)).await;
             }
             // The node may be back by now, and the coordinators may have reported that already.
             if node.listed().0 == 0 {
-                node.list(if drained { 1 } else { 2 }, node.listed().1);
+                node.set_listed(if drained { 1 } else { 2 }, node.listed().1);
                 self.announce_node(place);
             }
             return;
         }
         let started = unix_ms();
-        node.empty();
+        node.delete_copies();
         let (from, time) = (self.cold.from, self.cold.time);
         node.set(|h| (h.started, h.cold) = (started as f64 / 1000.0, (from, time)));
         {
             let mut seen = self.event_log.open();
             seen.cold.push((place, started as f64 / 1000.0));
-            let recovered_at = self.tier.unix();
-            if let Some(t) = seen.troubled.iter_mut().rev().find(|t| t.0 == place && t.2 == f64::MAX) {
+            let recovered_at = self.tier.unix_seconds();
+            if let Some(t) = seen.impairments.iter_mut().rev().find(|t| t.0 == place && t.2 == f64::MAX) {
                 t.2 = recovered_at;
             }
         }
-        node.path(None, Path::Open);
+        node.set_path(None, Path::Open);
         sleep(Duration::from_secs_f64(self.plan.told_back_s)).await;
         if kind == Kind::NodeReplaced {
             // The old id is removed for good; a node with a new id takes over the address.
-            node.list(2, node.listed().1);
+            node.set_listed(2, node.listed().1);
             self.announce_node(place);
             if let Some(id) = self.unused_ids.borrow_mut().pop() {
-                let ids = [(node.id(), (place, self.tier.unix())), (id, (place, f64::MAX))];
+                let ids = [(node.id(), (place, self.tier.unix_seconds())), (id, (place, f64::MAX))];
                 self.node_ids.borrow_mut().extend(ids);
-                node.rename(id);
+                node.set_id(id);
             }
         }
-        node.list(0, started);
+        node.set_listed(0, started);
         self.announce_node(place);
     }
 
@@ -329,22 +330,22 @@
     async fn cordon(&self, nodes: &[usize], on: bool) {
         for &place in nodes {
             let command = if on { "cordon" } else { "uncordon" };
-            let first_call_at = self.tier.unix();
+            let first_call_at = self.tier.unix_seconds();
             let line = format!("{command} s-{:08x}", self.tier.nodes[place].id());
             for front in
                 self.fronts.iter().filter(|f| self.plan.location(f.place) == self.plan.location(place))
             {
                 if !front.send_command(&line).await {
-                    self.event_log.open().unheard += 1;
+                    self.event_log.open().unconfirmed_calls += 1;
                     eprintln!("onyxyoke-lab: front {} did not accept '{line}'", front.place);
                 }
             }
-            let at = if on { self.tier.unix() } else { first_call_at };
+            let at = if on { self.tier.unix_seconds() } else { first_call_at };
             let mut seen = self.event_log.open();
-            seen.told.push(NotificationRecord { at, node: place, state: u8::from(on), front: None });
-            match seen.troubled.iter_mut().rev().find(|t| t.0 == place && t.2 == f64::MAX) {
+            seen.notifications.push(NotificationRecord { at, node: place, state: u8::from(on), front: None });
+            match seen.impairments.iter_mut().rev().find(|t| t.0 == place && t.2 == f64::MAX) {
                 Some(t) if !on => t.2 = at,
-                _ => seen.troubled.push((place, at, f64::MAX)),
+                _ => seen.impairments.push((place, at, f64::MAX)),
             }
         }
     }
@@ -354,12 +355,12 @@
         let node_ids = self.node_ids.borrow();
         let mut seen = self.event_log.open();
         for front in &self.fronts {
-            let told = front.coordinator.heard().into_iter().filter_map(|(at, id, state)| {
+            let told = front.coordinator.notifications().into_iter().filter_map(|(at, id, state)| {
                 // A late notification for a replaced id says nothing about the node that took its address.
                 let &(node, until) = node_ids.get(&id)?;
                 (at < until).then_some(NotificationRecord { at, node, state, front: Some(front.place) })
             });
-            seen.told.extend(told);
+            seen.notifications.extend(told);
         }
     }
 
@@ -369,12 +370,12 @@
         let mut announced = false;
         for front in &self.fronts {
             if let Some(member) = member(&self.tier, place, front.place, location) {
-                front.coordinator.changed(&[member]);
+                front.coordinator.publish_members(&[member]);
                 announced = true;
             }
         }
         if announced {
-            let at = self.tier.unix();
+            let at = self.tier.unix_seconds();
             self.event_log.open().events.push(at);
         }
     }
--- a/crates/lab/src/fleet/fronts.rs
+++ b/crates/lab/src/fleet/fronts.rs
@@ -33,7 +33,7 @@
 
 /// Returns the settings that all fronts share; each front adds its own place and location.
 pub fn settings(plan: &Plan) -> Result<Value, Box<dyn Error>> {
-    let operator: Value = toml::from_str(crate::OPERATOR)?;
+    let operator: Value = toml::from_str(crate::OPERATOR_EXAMPLE)?;
     let mut settings = operator["settings"].clone();
     let fronts_at = |l: usize| (0..plan.fronts).filter(|f| plan.location(*f) == l).count();
     let counts = (0..plan.locations).map(fronts_at);
@@ -161,13 +161,13 @@
         {
             let mut config = self.config.borrow_mut();
             config["known"] = known_members(self.place, tier)?;
-            config["known"]["index"] = json!(self.coordinator.told());
+            config["known"]["index"] = json!(self.coordinator.last_number());
             config["known"]["updates"][0]["index"] = config["known"]["index"].clone();
             config["seed"] = json!(format!("{seed:016x}"));
             std::fs::write(&file, config.to_string())?;
         }
         let listed = tier.nodes.iter().filter_map(|n| member(tier, n.place, self.place, 0));
-        self.coordinator.knows(listed.map(|m| (m.id, m.state)));
+        self.coordinator.record_known_states(listed.map(|m| (m.id, m.state)));
         let mut child = self.spawn(Stdio::piped())?;
         let stderr = child.stderr.take().ok_or("no standard error")?;
         let (sender, serving) = oneshot::channel();
@@ -369,7 +369,7 @@
     };
     let address = n.address(front)?;
     let (state, started) = n.listed();
-    Some(Member { id: n.id(), address, state, zone, kind, weight: n.usual, started_ms: started })
+    Some(Member { id: n.id(), address, state, zone, kind, weight: n.usual_capacity, started_ms: started })
 }
 
 /// Returns the whole membership list for the settings of a front's new process.
--- a/crates/lab/src/fleet/mod.rs
+++ b/crates/lab/src/fleet/mod.rs
@@ -19,7 +19,7 @@
 use plan::Plan;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use record::{EventLog, NodeInfo, WINDOW};
+use record::{EventLog, NodeInfo, WORK_WINDOW_S};
 use serde::Serialize;
 use std::error::Error;
 use std::path::{Path, PathBuf};
@@ -28,7 +28,7 @@
 use std::time::Duration;
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{MissedTickBehavior, interval, sleep};
-use verdict::{Cold, Verdict, VerdictCriteria};
+use verdict::{ColdStartLimit, Verdict, VerdictCriteria};
 
 /// Command-line options of a fleet run.
 #[derive(clap::Args)]
@@ -103,7 +103,7 @@
     if let Some(front) = &options.front {
         plan.programs = vec![plan::Program { name: "now".into(), path: Some(front.clone()), share: 1.0 }];
     }
-    let (verdict, event_log, processor) = play_alone(&plan, options.seed, options.logs.as_deref())?;
+    let (verdict, event_log, processor) = run_plan_blocking(&plan, options.seed, options.logs.as_deref())?;
     print!("{verdict}");
     if let Some(folder) = &options.logs {
         record::write_requests(&folder.join("requests.csv"), &event_log.open())?;
@@ -133,7 +133,7 @@
 pub type RunResult = (Verdict, Arc<EventLog>, (f64, f64));
 
 /// Runs a plan on a runtime of its own.
-pub fn play_alone(plan: &Plan, seed: u64, logs: Option<&Path>) -> Result<RunResult, Box<dyn Error>> {
+pub fn run_plan_blocking(plan: &Plan, seed: u64, logs: Option<&Path>) -> Result<RunResult, Box<dyn Error>> {
     let pairs = plan.fronts * (plan.nodes / plan.locations + plan.parents + 2);
     raise_descriptor_limit(BASE_DESCRIPTORS + 2 * pairs as u64)?;
     let runtime =
@@ -173,7 +173,7 @@
     event_log: Arc<EventLog>,
     fronts: Vec<Rc<Front>>,
     clients: Rc<Clients>,
-    cold: Cold,
+    cold: ColdStartLimit,
     /// Unused ids for nodes that replace others.
     unused_ids: std::cell::RefCell<Vec<u32>>,
     /// By node id: the place of the node, and until when it has the id (Unix seconds).
@@ -194,7 +194,7 @@
     let number = |section: &str, key: &str| {
         settings[section][key].as_f64().ok_or(format!("the example settings lack '{section}.{key}'"))
     };
-    let cold = Cold {
+    let cold = ColdStartLimit {
         from: number("invariants", "cold-from")?,
         time: number("invariants", "cold")?,
         multiple: number("invariants", "overload-factor")?,
@@ -226,8 +226,8 @@
     let name = format!("fleet-{}-{seed}", std::process::id());
     let rollout_run = plan.rollout.as_ref().map(|r| rollout::RolloutRun::new(r, name.clone(), &folder.0));
     let _process_cleanup = rollout_run.as_ref().map(|_| rollout::ProcessCleanup(name));
-    let began = tier.unix();
-    event_log.open().began = began;
+    let began = tier.unix_seconds();
+    event_log.open().started_at = began;
     for node in &tier.nodes {
         node.take_done(tier.now());
     }
@@ -246,8 +246,8 @@
     let mut rollout_task = None;
     if let Some(rollout_run) = &rollout_run {
         // Fronts log this address right after the line that says that they serve.
-        let deadline = tier.unix() + OPERATORS_TIMEOUT_S;
-        while fronts.iter().any(|f| f.operators().is_none()) && tier.unix() < deadline {
+        let deadline = tier.unix_seconds() + OPERATORS_TIMEOUT_S;
+        while fronts.iter().any(|f| f.operators().is_none()) && tier.unix_seconds() < deadline {
             sleep(Duration::from_millis(5)).await;
         }
         rollout_run.write_plan(&fleet)?;
@@ -259,22 +259,22 @@
     clients.start();
     fleet.schedule();
     let mut rollout_error = None;
-    let mut windows = interval(Duration::from_secs_f64(WINDOW));
+    let mut windows = interval(Duration::from_secs_f64(WORK_WINDOW_S));
     windows.set_missed_tick_behavior(MissedTickBehavior::Burst);
     windows.tick().await;
     let mut until = began + plan.seconds;
-    while tier.unix() < until {
+    while tier.unix_seconds() < until {
         windows.tick().await;
         if rollout_task.as_ref().is_some_and(|task| task.is_finished())
             && let Some(task) = rollout_task.take()
         {
             rollout_error = task.await?.err();
             // The effects of the rollout show soon after its end.
-            until = until.min(tier.unix() + AFTER_ROLLOUT_S);
+            until = until.min(tier.unix_seconds() + AFTER_ROLLOUT_S);
         }
         let mut seen = event_log.open();
         for node in &tier.nodes {
-            let done = node.take_done(tier.now()) / node.usual;
+            let done = node.take_done(tier.now()) / node.usual_capacity;
             seen.done[node.place].push(done);
         }
         drop(seen);
@@ -283,8 +283,9 @@
     clients.stop();
     let processor_after: f64 = fronts.iter().map(|f| f.processor_s()).sum();
     // Requests in flight are answered within the longest deadline, or are lost.
-    let deadline = tier.unix() + LONGEST_DEADLINE_S + plan.clients.pace.map_or(0.0, |_| SLOW_READ_MARGIN_S);
-    while tier.unix() < deadline && event_log.open().asked.iter().any(|a| a.end.is_none()) {
+    let deadline =
+        tier.unix_seconds() + LONGEST_DEADLINE_S + plan.clients.pace.map_or(0.0, |_| SLOW_READ_MARGIN_S);
+    while tier.unix_seconds() < deadline && event_log.open().requests.iter().any(|a| a.end.is_none()) {
         sleep(Duration::from_millis(20)).await;
     }
     // A signal series that waited for the one before it may still be running.
--- a/crates/lab/src/fleet/plot.rs
+++ b/crates/lab/src/fleet/plot.rs
@@ -1,6 +1,6 @@
 //! Plots the work of each node over time.
 
-use super::record::{Observations, WINDOW};
+use super::record::{Observations, WORK_WINDOW_S};
 use plotters::prelude::*;
 use std::error::Error;
 use std::path::Path;
@@ -18,7 +18,7 @@
         observed.done[n][p * WINDOWS_PER_POINT..(p + 1) * WINDOWS_PER_POINT].iter().sum::<f64>()
     };
     let mean = |p: usize| caches.iter().map(|&n| work_at(n, p)).sum::<f64>() / caches.len().max(1) as f64;
-    let until = (points * WINDOWS_PER_POINT) as f64 * WINDOW;
+    let until = (points * WINDOWS_PER_POINT) as f64 * WORK_WINDOW_S;
     let root = SVGBackend::new(path, (1000, 500)).into_drawing_area();
     root.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&root)
@@ -31,13 +31,13 @@
     for (i, &n) in caches.iter().enumerate() {
         let color = Palette99::pick(i).mix(0.7);
         let line = (0..points).map(|p| {
-            let x = ((p * WINDOWS_PER_POINT) as f64 + WINDOWS_PER_POINT as f64 / 2.0) * WINDOW;
+            let x = ((p * WINDOWS_PER_POINT) as f64 + WINDOWS_PER_POINT as f64 / 2.0) * WORK_WINDOW_S;
             (x, (work_at(n, p) / mean(p).max(1e-9)).min(3.0))
         });
         chart.draw_series(LineSeries::new(line, color))?;
     }
     for event in &observed.events {
-        let x = event - observed.began;
+        let x = event - observed.started_at;
         chart.draw_series(LineSeries::new([(x, 0.0), (x, 3.0)], BLACK.mix(0.4)))?;
     }
     root.present()?;
--- a/crates/lab/src/fleet/record.rs
+++ b/crates/lab/src/fleet/record.rs
@@ -42,7 +42,7 @@
 
 /// A client's request, with times in Unix seconds.
 #[derive(Debug, Clone, Copy)]
-pub struct Asked {
+pub struct RequestRecord {
     pub at: f64,
     /// The front of its client, which it is meant for.
     pub front: usize,
@@ -57,9 +57,9 @@
     /// When the copy that served it was made.
     pub made: Option<f64>,
     /// The number of answers beyond the first.
-    pub again: u32,
+    pub extra_answers: u32,
     /// Whether the answer had bytes of another object.
-    pub spoilt: bool,
+    pub corrupted: bool,
     /// Whether its front was killed, stopped or replaced while it was open, so that it may be lost.
     pub excused: bool,
     /// Whether its client reads at its own pace, so that the time of its answer says nothing about the front.
@@ -100,35 +100,35 @@
 pub struct Observations {
     pub nodes: Vec<NodeInfo>,
     pub attempts: Vec<Attempt>,
-    pub asked: Vec<Asked>,
-    pub told: Vec<NotificationRecord>,
+    pub requests: Vec<RequestRecord>,
+    pub notifications: Vec<NotificationRecord>,
     /// When all objects were purged.
     pub purged: Vec<f64>,
     /// Nodes with faults: the node, and the start and end of its fault.
-    pub troubled: Vec<(usize, f64, f64)>,
+    pub impairments: Vec<(usize, f64, f64)>,
     /// Number of operators' calls that were not confirmed within a second.
-    pub unheard: usize,
+    pub unconfirmed_calls: usize,
     /// Connections refused while the platform expects a process to accept them: the time and the front.
     pub refused: Vec<(f64, usize)>,
     pub cycles: Vec<Cycle>,
     /// Processes that did not start or end as they should: the time, the front and what was wrong.
-    pub ends: Vec<(f64, usize, String)>,
+    pub failed_ends: Vec<(f64, usize, String)>,
     /// For each restart of a front, the time until it accepted clients (seconds).
     pub ready: Vec<f64>,
     /// Cold starts of nodes: the node and the time.
     pub cold: Vec<(usize, f64)>,
     /// Times at which something changed for many fronts at once.
     pub events: Vec<f64>,
-    /// Work by node and window of `WINDOW` seconds, per unit of link.
+    /// Work by node and window of `WORK_WINDOW_S` seconds, per unit of link.
     pub done: Vec<Vec<f64>>,
     /// When the first window began.
-    pub began: f64,
+    pub started_at: f64,
     /// Lateness of the stand-ins themselves (microseconds).
     pub late: Histogram<u64>,
 }
 
 /// The length of the windows in which work is added up (seconds).
-pub const WINDOW: f64 = 0.5;
+pub const WORK_WINDOW_S: f64 = 0.5;
 
 /// Observations that many tasks write to.
 #[derive(Debug)]
@@ -141,19 +141,19 @@
         Observations {
             nodes,
             attempts: Vec::new(),
-            asked: Vec::new(),
-            told: Vec::new(),
+            requests: Vec::new(),
+            notifications: Vec::new(),
             purged: Vec::new(),
-            troubled: Vec::new(),
-            unheard: 0,
+            impairments: Vec::new(),
+            unconfirmed_calls: 0,
             refused: Vec::new(),
             cycles: Vec::new(),
-            ends: Vec::new(),
+            failed_ends: Vec::new(),
             ready: Vec::new(),
             cold: Vec::new(),
             events: Vec::new(),
             done,
-            began: 0.0,
+            started_at: 0.0,
             late: Histogram::new_with_bounds(1, 60_000_000, 3).expect("bounds that fit"),
         }
     }
@@ -170,19 +170,19 @@
 }
 
 impl Record for EventLog {
-    fn came(&self, arrival: ObservedAttempt) -> usize {
+    fn attempt_started(&self, arrival: ObservedAttempt) -> usize {
         let attempts = &mut self.open().attempts;
         attempts.push(Attempt { arrival, ended: None });
         attempts.len() - 1
     }
 
-    fn ended(&self, attempt: usize, at: f64) {
+    fn attempt_ended(&self, attempt: usize, at: f64) {
         if let Some(a) = self.open().attempts.get_mut(attempt) {
             a.ended.get_or_insert(at);
         }
     }
 
-    fn late(&self, seconds: f64) {
+    fn transfer_late(&self, seconds: f64) {
         self.open().late.saturating_record((seconds * 1e6) as u64);
     }
 }
@@ -194,15 +194,15 @@
     let mut out = io::BufWriter::new(std::fs::File::create(path)?);
     let columns = "at_s,front,object,deadline_s,end,took_s,excused,sent_to,port,connected_s,closed_s";
     writeln!(out, "{columns}")?;
-    for a in &observed.asked {
+    for a in &observed.requests {
         let (took, end) = a.end.map_or((f64::NAN, "open".into()), |(t, e)| (t - a.at, format!("{e:?}")));
-        let at = a.at - observed.began;
+        let at = a.at - observed.started_at;
         write!(out, "{at:.3},{},{:016x},{},{end},{took:.3},{}", a.front, a.object, a.deadline, a.excused)?;
         match a.sent_on {
             None => writeln!(out, ",,,,")?,
             Some(SentOn { front, port, made, closed }) => {
-                let made = made - observed.began;
-                let closed = closed.map_or(String::new(), |at| format!("{:.3}", at - observed.began));
+                let made = made - observed.started_at;
+                let closed = closed.map_or(String::new(), |at| format!("{:.3}", at - observed.started_at));
                 writeln!(out, ",{front},{port},{made:.3},{closed}")?;
             }
         }
--- a/crates/lab/src/fleet/terminations.rs
+++ b/crates/lab/src/fleet/terminations.rs
@@ -1,6 +1,6 @@
 //! When processes of a front were sent SIGTERM, and which connections carry no more requests because of it.
 
-use super::faults::COMING;
+use super::faults::NEW_CONNECTIONS_AFTER_TERM_S;
 use std::cell::RefCell;
 use std::time::{Duration, Instant};
 
@@ -13,15 +13,15 @@
 
 impl Terminations {
     /// Records that a process was sent SIGTERM.
-    pub fn note(&self, at: Instant) {
+    pub fn record(&self, at: Instant) {
         self.0.borrow_mut().push(at);
     }
 
     /// Returns whether a connection established at this time carries no more requests. Once true it stays
     /// true: a request to a process that has ended resets the connection, and the client loses the answers
     /// that it hasn't read.
-    pub fn end_requests(&self, made: Instant, now: Instant) -> bool {
-        let coming = Duration::from_secs_f64(COMING);
+    pub fn has_no_more_requests(&self, made: Instant, now: Instant) -> bool {
+        let coming = Duration::from_secs_f64(NEW_CONNECTIONS_AFTER_TERM_S);
         let is_over = |term: Instant| now.saturating_duration_since(term) > REQUESTS_AFTER_TERM;
         self.0.borrow().iter().any(|&term| made < term + coming && is_over(term))
     }
@@ -38,13 +38,16 @@
         let began = Instant::now();
         let at = |seconds: f64| began + Duration::from_secs_f64(seconds);
         let terminations = Terminations::default();
-        terminations.note(at(2.0));
-        assert!(!terminations.end_requests(at(1.0), at(2.5)), "requests continue for a while");
-        assert!(terminations.end_requests(at(1.0), at(2.7)));
-        terminations.note(at(7.0));
-        assert!(terminations.end_requests(at(1.0), at(7.1)), "its process has ended");
-        assert!(!terminations.end_requests(at(5.0), at(7.1)), "this one belongs to the second process");
-        assert!(terminations.end_requests(at(5.0), at(7.7)));
-        assert!(!terminations.end_requests(at(7.5), at(9.0)), "and this one to the third");
+        terminations.record(at(2.0));
+        assert!(!terminations.has_no_more_requests(at(1.0), at(2.5)), "requests continue for a while");
+        assert!(terminations.has_no_more_requests(at(1.0), at(2.7)));
+        terminations.record(at(7.0));
+        assert!(terminations.has_no_more_requests(at(1.0), at(7.1)), "its process has ended");
+        assert!(
+            !terminations.has_no_more_requests(at(5.0), at(7.1)),
+            "this one belongs to the second process"
+        );
+        assert!(terminations.has_no_more_requests(at(5.0), at(7.7)));
+        assert!(!terminations.has_no_more_requests(at(7.5), at(9.0)), "and this one to the third");
     }
 }
--- a/crates/lab/src/fleet/verdict.rs
+++ b/crates/lab/src/fleet/verdict.rs
@@ -4,7 +4,7 @@
 mod rules;
 
 use super::plan::{Bounds, SignalSeries};
-use super::record::{Asked, Attempt, End, Observations, WINDOW};
+use super::record::{Attempt, End, Observations, RequestRecord, WORK_WINDOW_S};
 use hdrhistogram::Histogram;
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -16,7 +16,7 @@
     /// The judged span, in Unix seconds.
     pub from: f64,
     pub until: f64,
-    pub cold: Cold,
+    pub cold: ColdStartLimit,
     /// Fronts follow a purge or a drain at most this long after its notification (seconds).
     pub purge_slack: f64,
     pub drain_grace: f64,
@@ -30,7 +30,7 @@
 /// The rule on cold nodes: within each window a cold node receives at most a multiple of its present
 /// capacity.
 #[derive(Debug, Clone, Copy)]
-pub struct Cold {
+pub struct ColdStartLimit {
     /// The share of its capacity that a node has when it starts.
     pub from: f64,
     /// The time after which it has its full capacity (seconds).
@@ -50,8 +50,6 @@
 const READY_P90_S: f64 = 10.0;
 /// Every restarted front is ready within this time (seconds).
 pub const READY_MAX_S: f64 = 30.0;
-/// `READY_P90_S` and `READY_MAX_S`.
-pub const READY: (f64, f64) = (READY_P90_S, READY_MAX_S);
 /// Requests sent at most this long before a series of signals count towards it: the longest deadline
 /// (seconds).
 const CYCLE_LEAD_S: f64 = 5.0;
@@ -130,7 +128,7 @@
 
 impl CycleFigures {
     /// The sums of both figures, field by field.
-    pub fn and(self, more: CycleFigures) -> CycleFigures {
+    pub fn plus(self, more: CycleFigures) -> CycleFigures {
         CycleFigures {
             times: self.times + more.times,
             asked: self.asked + more.asked,
@@ -188,7 +186,7 @@
 
 /// The figures of clients' requests and of the nodes' work.
 fn client_figures(observed: &Observations, criteria: &VerdictCriteria) -> Figures {
-    let judged = || observed.asked.iter().filter(|a| (criteria.from..criteria.until).contains(&a.at));
+    let judged = || observed.requests.iter().filter(|a| (criteria.from..criteria.until).contains(&a.at));
     let total_requests = judged().count().max(1) as f64;
     let share =
         |end: End| judged().filter(|a| a.end.is_some_and(|e| e.1 == end)).count() as f64 / total_requests;
@@ -222,8 +220,9 @@
 
 /// The cache nodes of a location that were healthy throughout the judged span.
 fn healthy_caches(observed: &Observations, criteria: &VerdictCriteria, location: usize) -> Vec<usize> {
-    let troubled =
-        |n: usize| observed.troubled.iter().any(|t| t.0 == n && t.1 < criteria.until && t.2 > criteria.from);
+    let troubled = |n: usize| {
+        observed.impairments.iter().any(|t| t.0 == n && t.1 < criteria.until && t.2 > criteria.from)
+    };
     let here =
         |n: &usize| observed.nodes[*n].cache && observed.nodes[*n].location == location && !troubled(*n);
     (0..observed.nodes.len()).filter(here).collect()
@@ -231,8 +230,9 @@
 
 /// Work of a node in a span of time, per unit of link.
 fn node_work(observed: &Observations, node: usize, from: f64, until: f64) -> f64 {
-    let window_at =
-        |time: f64| (((time - observed.began) / WINDOW).max(0.0) as usize).min(observed.done[node].len());
+    let window_at = |time: f64| {
+        (((time - observed.started_at) / WORK_WINDOW_S).max(0.0) as usize).min(observed.done[node].len())
+    };
     observed.done[node][window_at(from)..window_at(until)].iter().sum()
 }
 
@@ -321,7 +321,8 @@
 /// Compares the load of recovered nodes with that of the healthy nodes of their location.
 fn measure_recovery(observed: &Observations, criteria: &VerdictCriteria, f: &mut Figures) {
     let mut sums: BTreeMap<u64, (f64, f64, f64)> = BTreeMap::new();
-    for &(node, _, recovered) in observed.troubled.iter().filter(|t| t.2 < criteria.until - RECOVERY_S - 4.0)
+    for &(node, _, recovered) in
+        observed.impairments.iter().filter(|t| t.2 < criteria.until - RECOVERY_S - 4.0)
     {
         let others = healthy_caches(observed, criteria, observed.nodes[node].location);
         if others.is_empty() || !observed.nodes[node].cache {
@@ -344,7 +345,7 @@
 }
 
 /// The time by which an answer is due; a client that reads at its own pace has no such time.
-fn answer_due(request: &Asked, criteria: &VerdictCriteria) -> f64 {
+fn answer_due(request: &RequestRecord, criteria: &VerdictCriteria) -> f64 {
     let patience = if request.paced { f64::INFINITY } else { request.deadline };
     request.at + patience + criteria.answer_slack + SOCKET_SLACK_S
 }
@@ -358,20 +359,20 @@
         };
         let figures = verdict.cycles.entry(cycle.series).or_default();
         figures.times += 1;
-        for request in observed.asked.iter().filter(|a| during(a.at, a.front)) {
+        for request in observed.requests.iter().filter(|a| during(a.at, a.front)) {
             let late =
                 request.end.is_some_and(|(at, end)| at > answer_due(request, criteria) && end != End::Lost);
             figures.asked += 1;
             figures.lost +=
                 usize::from(!request.excused && matches!(request.end, None | Some((_, End::Lost))));
-            figures.duplicated += usize::from(request.again > 0);
+            figures.duplicated += usize::from(request.extra_answers > 0);
             figures.late += usize::from(late);
         }
         figures.refused_connections += observed.refused.iter().filter(|r| during(r.0, r.1)).count();
-        figures.wrong_ends += observed.ends.iter().filter(|e| during(e.0, e.1)).count();
+        figures.wrong_ends += observed.failed_ends.iter().filter(|e| during(e.0, e.1)).count();
     }
-    let since = |at: f64| at - observed.began;
-    for (at, front, what) in &observed.ends {
+    let since = |at: f64| at - observed.started_at;
+    for (at, front, what) in &observed.failed_ends {
         verdict.add_violation(
             "a process ends and starts as it is told",
             format!("front {front} at {:.2} s: {what}", since(*at)),
--- a/crates/lab/src/fleet/verdict/rules.rs
+++ b/crates/lab/src/fleet/verdict/rules.rs
@@ -1,6 +1,6 @@
 //! The rules that every run must keep, whatever a plan's bounds are.
 
-use super::super::record::{Asked, Attempt, End, Observations};
+use super::super::record::{Attempt, End, Observations, RequestRecord};
 use super::{
     CHANCE_EXTRA_CALLS, CHANCE_ROOT_MULTIPLE, READY_MAX_S, READY_P90_S, SOCKET_SLACK_S, Verdict,
     VerdictCriteria, answer_due,
@@ -17,11 +17,11 @@
 
 /// Adds the violations of the rules, and the figures that belong to them.
 pub(super) fn check(observed: &Observations, criteria: &VerdictCriteria, verdict: &mut Verdict) {
-    for request in &observed.asked {
+    for request in &observed.requests {
         check_answer(request, observed, criteria, verdict);
         check_purges(request, observed, criteria, verdict);
     }
-    for _ in 0..observed.unheard {
+    for _ in 0..observed.unconfirmed_calls {
         verdict.add_violation("operators are answered within 1 s", "a cordon without a yes".into());
     }
     check_keyed_attempts(observed, verdict);
@@ -34,16 +34,21 @@
 }
 
 /// Describes a request as the example of a violation.
-fn request_example(request: &Asked, observed: &Observations, why: &str) -> String {
-    format!("{why}, asked of front {} at {:.2} s", request.front, request.at - observed.began)
+fn request_example(request: &RequestRecord, observed: &Observations, why: &str) -> String {
+    format!("{why}, asked of front {} at {:.2} s", request.front, request.at - observed.started_at)
 }
 
-fn check_answer(request: &Asked, observed: &Observations, criteria: &VerdictCriteria, verdict: &mut Verdict) {
+fn check_answer(
+    request: &RequestRecord,
+    observed: &Observations,
+    criteria: &VerdictCriteria,
+    verdict: &mut Verdict,
+) {
     let example = |why: &str| request_example(request, observed, why);
-    if request.again > 0 {
+    if request.extra_answers > 0 {
         verdict.add_violation("one final answer", example("answered twice"));
     }
-    if request.spoilt {
+    if request.corrupted {
         verdict.add_violation("whole and unchanged", example("bytes of another object"));
     }
     let due = answer_due(request, criteria);
@@ -58,7 +63,12 @@
     }
 }
 
-fn check_purges(request: &Asked, observed: &Observations, criteria: &VerdictCriteria, verdict: &mut Verdict) {
+fn check_purges(
+    request: &RequestRecord,
+    observed: &Observations,
+    criteria: &VerdictCriteria,
+    verdict: &mut Verdict,
+) {
     for purged in observed.purged.iter().filter(|purged| **purged + criteria.purge_slack < request.at) {
         if request.made.is_some_and(|made| made + COPY_TIME_PRECISION < *purged) {
             let example = request_example(request, observed, "an old copy");
@@ -89,7 +99,7 @@
 /// Each front is judged by its own notifications and their times: two fronts may have different lists.
 fn check_drains(observed: &Observations, criteria: &VerdictCriteria, verdict: &mut Verdict) {
     let mut states_by_node: HashMap<(usize, Option<usize>), NotifiedStates> = HashMap::new();
-    for notification in &observed.told {
+    for notification in &observed.notifications {
         let states = states_by_node.entry((notification.node, notification.front)).or_default();
         states.push((notification.at, notification.state));
     }
@@ -100,7 +110,7 @@
             let unready_since = unready_since(states, arrival.at);
             if unready_since.is_some_and(|since| arrival.at >= since + criteria.drain_grace + SOCKET_SLACK_S)
             {
-                let at = arrival.at - observed.began;
+                let at = arrival.at - observed.started_at;
                 let example = format!("front {} to node {} at {at:.2} s", arrival.front, arrival.node);
                 verdict.add_violation("nothing new to a draining node", example);
             }
@@ -174,7 +184,7 @@
         *excess = Some(excess.unwrap_or(f64::MIN).max(over / allowed.sqrt()));
         if !is_overloaded && over > CHANCE_ROOT_MULTIPLE * allowed.sqrt() + CHANCE_EXTRA_CALLS {
             is_overloaded = true;
-            let (calls, at) = (sent / mean_work, at - observed.began);
+            let (calls, at) = (sent / mean_work, at - observed.started_at);
             let example =
                 format!("node {node} got {calls:.1} calls of mean work for {allowed:.1} at {at:.2} s");
             verdict.add_violation("no cold node pushed over", example);
--- a/crates/lab/src/fleet/verdict/tests.rs
+++ b/crates/lab/src/fleet/verdict/tests.rs
@@ -1,6 +1,6 @@
 //! Tests of `verdict.rs`.
 
-use super::super::record::{Asked, Cycle, NodeInfo, NotificationRecord};
+use super::super::record::{Cycle, NodeInfo, NotificationRecord, RequestRecord};
 use super::*;
 use onyxyoke_stand_ins::fleet::ObservedAttempt;
 
@@ -9,7 +9,7 @@
     let node = NodeInfo { location: 0, link: 4.0, cache: true };
     let above = NodeInfo { cache: false, ..node };
     let mut observed = Observations::new(vec![node, node, above]);
-    observed.began = 1000.0;
+    observed.started_at = 1000.0;
     for i in 0..200 {
         let at = 1000.0 + f64::from(i) * 0.1;
         let (node, front) = (i as usize % 2, i as usize % 3);
@@ -27,8 +27,8 @@
         observed.attempts.push(Attempt { arrival, ended: Some(at + 0.1) });
         let end = Some((at + 0.1, End::Served));
         let (aim, deadline, made) = (0.5, 3.0, Some(at));
-        let (again, spoilt, excused, paced, object) = (0, false, false, false, 7);
-        observed.asked.push(Asked {
+        let (extra_answers, corrupted, excused, paced, object) = (0, false, false, false, 7);
+        observed.requests.push(RequestRecord {
             at,
             front,
             sent_on: None,
@@ -37,8 +37,8 @@
             object,
             end,
             made,
-            again,
-            spoilt,
+            extra_answers,
+            corrupted,
             excused,
             paced,
         });
@@ -47,7 +47,7 @@
     let criteria = VerdictCriteria {
         from: 1000.0,
         until: 1020.0,
-        cold: Cold { from: 0.2, time: 10.0, multiple: 2.0, window: 1.0 },
+        cold: ColdStartLimit { from: 0.2, time: 10.0, multiple: 2.0, window: 1.0 },
         purge_slack: 1.0,
         drain_grace: 0.5,
         answer_slack: 0.01,
@@ -74,19 +74,19 @@
 fn each_planted_fault_breaks_its_own_rule_only() {
     type Plant = fn(&mut Observations);
     let plants: [(&str, Plant); 16] = [
-        ("a process ends and starts as it is told", |s| s.ends.push((1005.0, 1, "exit 1".into()))),
+        ("a process ends and starts as it is told", |s| s.failed_ends.push((1005.0, 1, "exit 1".into()))),
         ("a process takes connections as long as the platform sends some", |s| {
             s.refused.push((1005.0, 1));
         }),
-        ("operators are answered within 1 s", |s| s.unheard = 1),
-        ("one final answer", |s| s.asked[5].again = 1),
-        ("one final answer", |s| s.asked[5].end = Some((1009.0, End::Served))),
-        ("one final answer", |s| s.asked[5].end = None),
-        ("one final answer", |s| s.asked[5].end = Some((1001.0, End::Lost))),
-        ("whole and unchanged", |s| s.asked[5].spoilt = true),
+        ("operators are answered within 1 s", |s| s.unconfirmed_calls = 1),
+        ("one final answer", |s| s.requests[5].extra_answers = 1),
+        ("one final answer", |s| s.requests[5].end = Some((1009.0, End::Served))),
+        ("one final answer", |s| s.requests[5].end = None),
+        ("one final answer", |s| s.requests[5].end = Some((1001.0, End::Lost))),
+        ("whole and unchanged", |s| s.requests[5].corrupted = true),
         ("no copy from before a purge", |s| {
             s.purged.push(1005.0);
-            s.asked[100].made = Some(1004.0);
+            s.requests[100].made = Some(1004.0);
         }),
         ("never two attempts out", |s| {
             s.attempts[6].arrival.key = Some(1);
@@ -94,18 +94,18 @@
             s.attempts[9].arrival.key = Some(1);
         }),
         ("nothing new to a draining node", |s| {
-            s.told.push(NotificationRecord { at: 1005.0, node: 0, state: 1, front: None });
+            s.notifications.push(NotificationRecord { at: 1005.0, node: 0, state: 1, front: None });
             s.attempts.retain(|a| a.arrival.node != 0 || a.arrival.at < 1005.4 || a.arrival.at > 1019.7);
         }),
         ("nothing new to a draining node", |s| {
             let arrival = s.attempts.iter().rfind(|a| a.arrival.node == 0).unwrap().arrival;
-            s.told.push(NotificationRecord {
+            s.notifications.push(NotificationRecord {
                 at: arrival.at - 0.7,
                 node: 0,
                 state: 1,
                 front: Some(arrival.front),
             });
-            s.told.push(NotificationRecord {
+            s.notifications.push(NotificationRecord {
                 at: arrival.at - 0.1,
                 node: 0,
                 state: 0,
@@ -138,15 +138,15 @@
 #[test]
 fn excused_and_timely_requests_break_no_rule() {
     let v = judge_changed(|s| {
-        s.asked[5].end = Some((1001.0, End::Lost));
-        s.asked[5].excused = true;
+        s.requests[5].end = Some((1001.0, End::Lost));
+        s.requests[5].excused = true;
         s.purged.push(1005.0);
-        s.asked[50].made = Some(1004.9);
-        s.told.push(NotificationRecord { at: 1005.0, node: 0, state: 1, front: None });
-        s.told.push(NotificationRecord { at: 1005.3, node: 0, state: 0, front: None });
+        s.requests[50].made = Some(1004.9);
+        s.notifications.push(NotificationRecord { at: 1005.0, node: 0, state: 1, front: None });
+        s.notifications.push(NotificationRecord { at: 1005.3, node: 0, state: 0, front: None });
         // Only another front's list has the node as draining, and that front makes no attempt.
         let other = s.attempts.iter().map(|a| a.arrival.front).max().unwrap_or(0) + 1;
-        s.told.push(NotificationRecord { at: 1006.0, node: 0, state: 1, front: Some(other) });
+        s.notifications.push(NotificationRecord { at: 1006.0, node: 0, state: 1, front: Some(other) });
         s.cold.push((1, 1002.0));
         s.ready = vec![9.0, 1.0, 1.0, 1.0, 1.0, 1.0, 1.0, 1.0, 1.0, 29.0];
     });
@@ -179,7 +179,7 @@
     // Five calls a second, where the node can take 16 at its start and more from then on.
     assert!((-3.8..-3.3).contains(&v.figures.cold_excess.unwrap()), "{v}");
     let v = judge_changed(|s| {
-        s.troubled.push((0, 1001.0, 1003.0));
+        s.impairments.push((0, 1001.0, 1003.0));
         s.done[0] = (0..40).map(|w| if (2..22).contains(&w) { 0.02 } else { 0.08 }).collect();
     });
     let (least, most) = (v.figures.back_least.unwrap(), v.figures.back_most.unwrap());
@@ -199,13 +199,13 @@
     let v = judge_changed(|observed| {
         observed.cycles.push(cycle(1, 1006.0, SignalSeries::Term));
         observed.cycles.push(cycle(2, 1006.0, SignalSeries::Replaced));
-        let place = |front: usize, at: f64| move |a: &Asked| a.front == front && a.at > at;
-        let lost = observed.asked.iter().position(place(1, 1007.0)).unwrap();
-        observed.asked[lost].end = Some((1008.0, End::Lost));
-        let twice = observed.asked.iter().position(place(2, 1007.0)).unwrap();
-        observed.asked[twice].again = 1;
+        let place = |front: usize, at: f64| move |a: &RequestRecord| a.front == front && a.at > at;
+        let lost = observed.requests.iter().position(place(1, 1007.0)).unwrap();
+        observed.requests[lost].end = Some((1008.0, End::Lost));
+        let twice = observed.requests.iter().position(place(2, 1007.0)).unwrap();
+        observed.requests[twice].extra_answers = 1;
         observed.refused.push((1006.2, 1));
-        observed.ends.push((1009.0, 2, "exit 1".into()));
+        observed.failed_ends.push((1009.0, 2, "exit 1".into()));
     });
     let (term, replaced) = (v.cycles[&SignalSeries::Term], v.cycles[&SignalSeries::Replaced]);
     assert_eq!((term.times, term.lost, term.duplicated, term.refused_connections), (1, 1, 0, 1));
@@ -218,15 +218,15 @@
 #[test]
 fn a_slow_reader_may_be_answered_late_but_lose_or_duplicate_nothing() {
     let late = |s: &mut Observations| {
-        s.asked[5].paced = true;
-        s.asked[5].end = Some((s.asked[5].at + 30.0, End::Served));
+        s.requests[5].paced = true;
+        s.requests[5].end = Some((s.requests[5].at + 30.0, End::Served));
     };
     assert!(judge_changed(late).rules.is_empty());
     let lost = judge_changed(|s| {
-        s.asked[5].paced = true;
-        s.asked[5].end = None;
+        s.requests[5].paced = true;
+        s.requests[5].end = None;
     });
-    let twice = judge_changed(|s| (s.asked[5].paced, s.asked[5].again) = (true, 1));
+    let twice = judge_changed(|s| (s.requests[5].paced, s.requests[5].extra_answers) = (true, 1));
     for broken in [lost, twice] {
         assert!(broken.rules.contains_key("one final answer"), "{broken}");
     }
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -14,7 +14,7 @@
 use std::process::ExitCode;
 
 /// The operator's example configuration, whose settings have the platform's form.
-const OPERATOR: &str = include_str!("../../../deploy/operator.toml");
+const OPERATOR_EXAMPLE: &str = include_str!("../../../deploy/operator.toml");
 
 /// Load tests and experiments on onyxyoke fronts.
 #[derive(Parser)]
--- a/crates/lab/src/soak/clients.rs
+++ b/crates/lab/src/soak/clients.rs
@@ -321,7 +321,7 @@
             }
             free[self.random.borrow_mut().random_range(0..free.len())].clone()
         };
-        let tag = connection.fresh_tag();
+        let tag = connection.allocate_tag();
         let bytes = {
             let mut random = self.random.borrow_mut();
             request(&mut random, tag, class, row, if class == Class::Holds { 200 } else { 0 })
--- a/crates/lab/src/soak/front.rs
+++ b/crates/lab/src/soak/front.rs
@@ -72,7 +72,7 @@
         members: &[Member],
         coordinator: SocketAddr,
     ) -> Result<Front, Box<dyn Error>> {
-        let operator: Value = toml::from_str(crate::OPERATOR)?;
+        let operator: Value = toml::from_str(crate::OPERATOR_EXAMPLE)?;
         let kinds = ["standard", "parent", "origin"];
         let member = |m: &Member| {
             json!({"id": format!("s-{:08x}", m.id), "host_port": m.address, "cell": 0, "phase": "active",
--- a/crates/lab/src/soak/lifecycle.rs
+++ b/crates/lab/src/soak/lifecycle.rs
@@ -5,7 +5,7 @@
 use super::Options;
 use crate::fleet::plan::{Bounds, Clients, Fault, Kind, Plan, Program, SignalSeries, Target};
 use crate::fleet::verdict::{CycleFigures, Verdict};
-use crate::fleet::{play_alone, record};
+use crate::fleet::{record, run_plan_blocking};
 use crate::paced::Pace;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -194,7 +194,7 @@
         }
         for (series, figures) in verdict.cycles {
             let sum = self.by_series.entry(series).or_default();
-            *sum = sum.and(figures);
+            *sum = sum.plus(figures);
         }
         if held {
             self.held.push(seed);
@@ -255,7 +255,7 @@
 fn play(seed: u64, options: &Options, program: &Path, report: &mut Report) -> Result<(), Box<dyn Error>> {
     let plan = plan(seed, program);
     let logs = options.logs.as_ref().map(|folder| folder.join(seed.to_string()));
-    let (verdict, book, _) = play_alone(&plan, seed, logs.as_deref())?;
+    let (verdict, book, _) = run_plan_blocking(&plan, seed, logs.as_deref())?;
     if let Some(logs) = &logs {
         std::fs::write(logs.join("plan.json"), serde_json::to_string_pretty(&plan)?)?;
         record::write_requests(&logs.join("requests.csv"), &book.open())?;
--- a/crates/lab/src/soak/mod.rs
+++ b/crates/lab/src/soak/mod.rs
@@ -125,7 +125,7 @@
             self.members[at].started_ms = unix_ms();
             self.caches[at].clear();
         }
-        self.coordinator.changed(&self.members[at..=at]);
+        self.coordinator.publish_members(&self.members[at..=at]);
     }
 
     /// Starts or ends a fault.
--- a/crates/stand-ins/src/coordinator.rs
+++ b/crates/stand-ins/src/coordinator.rs
@@ -97,7 +97,7 @@
     }
 
     /// Returns the number of the last event.
-    pub fn told(&self) -> u64 {
+    pub fn last_number(&self) -> u64 {
         self.initial_number + self.events.borrow().len() as u64
     }
 
@@ -107,8 +107,8 @@
     }
 
     /// Records that its front knows all events so far, and these node states, from another source.
-    pub fn knows(&self, nodes: impl Iterator<Item = (u32, u8)>) {
-        self.delivered.set(self.told());
+    pub fn record_known_states(&self, nodes: impl Iterator<Item = (u32, u8)>) {
+        self.delivered.set(self.last_number());
         self.record_notifications(nodes);
     }
 
@@ -118,12 +118,12 @@
     }
 
     /// Returns the node states that its front was sent: Unix time in seconds, node id, state.
-    pub fn heard(&self) -> Vec<(f64, u32, u8)> {
+    pub fn notifications(&self) -> Vec<(f64, u32, u8)> {
         self.notifications.borrow().clone()
     }
 
     /// Publishes the current records of these members, except withheld ones.
-    pub fn changed(&self, members: &[Member]) {
+    pub fn publish_members(&self, members: &[Member]) {
         let withheld_ids = self.withheld_ids.borrow();
         let (withheld_members, published): (Vec<Member>, Vec<Member>) =
             members.iter().partition(|m| withheld_ids.contains(&m.id));
@@ -135,28 +135,28 @@
     }
 
     /// Withholds the updates of these nodes from now on, and publishes the withheld updates of all others.
-    pub fn leave_out(&self, ids: Vec<u32>) {
+    pub fn withhold_updates(&self, ids: Vec<u32>) {
         *self.withheld_ids.borrow_mut() = ids;
         let withheld_members = self.withheld_members.take();
         if !withheld_members.is_empty() {
-            self.changed(&withheld_members);
+            self.publish_members(&withheld_members);
         }
     }
 
     /// Closes every connection, or accepts connections again.
-    pub fn cut(&self, closing: bool) {
+    pub fn close_connections(&self, closing: bool) {
         self.closing.set(closing);
         self.updated.notify_waiters();
     }
 
     /// Accepts connections but sends nothing on them, or resumes sending.
-    pub fn silence(&self, silent: bool) {
+    pub fn suspend_sending(&self, silent: bool) {
         self.silent.set(silent);
         self.updated.notify_waiters();
     }
 
     /// Sends each event three times, and then all events since the oldest once more; or only new events.
-    pub fn repeat(&self, repeats: bool) {
+    pub fn repeat_events(&self, repeats: bool) {
         self.repeats.set(repeats);
         self.updated.notify_waiters();
     }
@@ -167,12 +167,12 @@
     }
 
     /// Publishes the purge of a group at this time.
-    pub fn purged_group(&self, group: u16, unix_ms: u64) {
+    pub fn publish_group_purge(&self, group: u16, unix_ms: u64) {
         self.publish(4, [&group.to_be_bytes()[..], &unix_ms.to_be_bytes()].concat(), Vec::new());
     }
 
     /// Delays all events, or sends the delayed ones.
-    pub fn hold(&self, delayed: bool) {
+    pub fn delay_events(&self, delayed: bool) {
         self.delayed.set(delayed);
         self.updated.notify_waiters();
     }
--- a/crates/stand-ins/src/fleet/node.rs
+++ b/crates/stand-ins/src/fleet/node.rs
@@ -69,7 +69,7 @@
     pub place: usize,
     pub kind: Kind,
     /// The usual capacity of its link, in transfers at full rate.
-    pub usual: f64,
+    pub usual_capacity: f64,
     /// The name of its zone in the list.
     pub zone: String,
     pub(super) state: Mutex<State>,
@@ -84,10 +84,10 @@
 
 impl Node {
     /// Creates a warm node.
-    pub fn new(place: usize, id: u32, kind: Kind, usual: f64, zone: String) -> Arc<Node> {
+    pub fn new(place: usize, id: u32, kind: Kind, usual_capacity: f64, zone: String) -> Arc<Node> {
         let health = Health { slow: 1.0, failing: 0.0, breaking: 0.0, started: 0.0, cold: (1.0, 1.0) };
         let state = State {
-            link: Link::new(usual),
+            link: Link::new(usual_capacity),
             health,
             stored: Default::default(),
             completions: HashMap::new(),
@@ -98,7 +98,7 @@
         Arc::new(Node {
             place,
             kind,
-            usual,
+            usual_capacity,
             zone,
             state: Mutex::new(state),
             changed: Notify::new(),
@@ -113,7 +113,7 @@
     }
 
     /// Sets the state and start time that its membership record shows.
-    pub fn list(&self, state: u8, started_ms: u64) {
+    pub fn set_listed(&self, state: u8, started_ms: u64) {
         locked(&self.state).listed = (state, started_ms);
     }
 
@@ -123,7 +123,7 @@
     }
 
     /// Sets another id, as if another node had replaced it.
-    pub fn rename(&self, id: u32) {
+    pub fn set_id(&self, id: u32) {
         locked(&self.state).id = id;
     }
 
@@ -133,12 +133,12 @@
     }
 
     /// Deletes all copies.
-    pub fn empty(&self) {
+    pub fn delete_copies(&self) {
         locked(&self.state).stored = Default::default();
     }
 
     /// Sets the condition of the path from one front, or from all.
-    pub fn path(&self, front: Option<usize>, path: Path) {
+    pub fn set_path(&self, front: Option<usize>, path: Path) {
         let paths = locked(&self.paths);
         let selected = paths.iter().filter(|(f, _)| front.is_none_or(|front| **f == front));
         for (_, (_, sender)) in selected {
@@ -157,7 +157,7 @@
     }
 
     /// Deletes copies made before this time (Unix milliseconds).
-    pub fn forget(&self, before: u64) {
+    pub fn delete_copies_before(&self, before: u64) {
         let state = &mut *locked(&self.state);
         state.stored.0.retain(|_, made| *made >= before);
         let stored = &state.stored.0;
--- a/crates/stand-ins/src/fleet/record.rs
+++ b/crates/stand-ins/src/fleet/record.rs
@@ -22,9 +22,9 @@
 /// Receives the observations of the nodes.
 pub trait Record: Send + Sync + 'static {
     /// An attempt arrived and is in flight; returns its number.
-    fn came(&self, came: ObservedAttempt) -> usize;
+    fn attempt_started(&self, came: ObservedAttempt) -> usize;
     /// The attempt of this number ended, at a Unix time in seconds.
-    fn ended(&self, attempt: usize, at: f64);
+    fn attempt_ended(&self, attempt: usize, at: f64);
     /// A transfer completed this many seconds later than the link scheduled it.
-    fn late(&self, seconds: f64);
+    fn transfer_late(&self, seconds: f64);
 }
--- a/crates/stand-ins/src/fleet/tier.rs
+++ b/crates/stand-ins/src/fleet/tier.rs
@@ -65,7 +65,7 @@
 
 impl Drop for InFlightAttempt<'_> {
     fn drop(&mut self) {
-        self.tier.record.ended(self.attempt, self.tier.unix());
+        self.tier.record.attempt_ended(self.attempt, self.tier.unix_seconds());
     }
 }
 
@@ -101,7 +101,7 @@
     }
 
     /// The Unix time in seconds, advanced by the monotonic clock.
-    pub fn unix(&self) -> f64 {
+    pub fn unix_seconds(&self) -> f64 {
         self.begun_unix + self.now()
     }
 
@@ -131,14 +131,14 @@
                 let state = &mut *locked(&node.state);
                 let now = self.now();
                 let Health { slow, started, cold: (from, time), .. } = state.health;
-                let age = self.unix() - started;
+                let age = self.unix_seconds() - started;
                 let capacity_share = if age < time { from + (1.0 - from) * age / time } else { 1.0 };
-                let size = node.usual * capacity_share / slow;
+                let size = node.usual_capacity * capacity_share / slow;
                 if (size - state.link.size).abs() > 1e-9 {
                     state.link.resize(now, size);
                 }
                 let due = state.link.next_end();
-                for id in state.link.whole(now) {
+                for id in state.link.take_complete(now) {
                     if let Some(completion) = state.completions.remove(&id) {
                         let _ = completion.send(due.unwrap_or(now));
                     }
@@ -294,7 +294,7 @@
             |made: &u64| request.max_age_ms == 0 || unix_ms().saturating_sub(*made) <= request.max_age_ms;
         let stored = if key.is_some() { None } else { node.copy_made_at(object).filter(fresh) };
         let mut observed = ObservedAttempt {
-            at: self.unix(),
+            at: self.unix_seconds(),
             node: node.place,
             front,
             object,
@@ -307,7 +307,7 @@
         let Health { failing, breaking, .. } = locked(&node.state).health;
         let draw = (unix_ms() ^ object).wrapping_mul(0x9e37_79b9) % 1000;
         if draw < (failing * 1000.0) as u64 {
-            let in_flight = InFlightAttempt { tier: self, attempt: self.record.came(observed) };
+            let in_flight = InFlightAttempt { tier: self, attempt: self.record.attempt_started(observed) };
             write_answer(write, &path, &format!("{} FAULT - 0\r\n\r\n", request.id), &[]).await;
             return drop(in_flight);
         }
@@ -330,12 +330,12 @@
             (observed.filled, observed.origin) = (true, true);
             (unix_ms(), PARENT_FILL_SECONDS + ORIGIN_FILL_SECONDS, "TCP_MISS_ROOT")
         } else {
-            let in_flight = InFlightAttempt { tier: self, attempt: self.record.came(observed) };
+            let in_flight = InFlightAttempt { tier: self, attempt: self.record.attempt_started(observed) };
             let note = if source.is_some() { "n=PEER_MISS" } else { "-" };
             write_answer(write, &path, &format!("{} NONE {note} 0\r\n\r\n", request.id), &[]).await;
             return drop(in_flight);
         };
-        let in_flight = InFlightAttempt { tier: self, attempt: self.record.came(observed) };
+        let in_flight = InFlightAttempt { tier: self, attempt: self.record.attempt_started(observed) };
         if delay_seconds > 0.0 {
             sleep(Duration::from_secs_f64(delay_seconds)).await;
         }
@@ -379,7 +379,7 @@
         node.changed.notify_one();
         let transfer = Transfer { tier: self, node, id };
         if let Ok(due) = completion.await {
-            self.record.late((self.now() - due).max(0.0));
+            self.record.transfer_late((self.now() - due).max(0.0));
         }
         drop(transfer);
     }
--- a/crates/stand-ins/src/link.rs
+++ b/crates/stand-ins/src/link.rs
@@ -101,7 +101,7 @@
     }
 
     /// Removes and returns the transfers that are complete by now.
-    pub fn whole(&mut self, now: f64) -> Vec<u64> {
+    pub fn take_complete(&mut self, now: f64) -> Vec<u64> {
         self.advance(now);
         let mut whole = Vec::new();
         while let Some(Reverse((end, id))) = self.scheduled.peek().copied() {
@@ -152,7 +152,7 @@
             Some(1.5),
             "half of the work is done, and the rest is sent at the full rate"
         );
-        let mut whole = link.whole(1.5);
+        let mut whole = link.take_complete(1.5);
         whole.sort_unstable();
         assert_eq!((whole, link.active()), (vec![1, 2], 0));
         assert!((link.take_done(2.0) - 3.0).abs() < 1e-9);
--- a/crates/stand-ins/src/scripted.rs
+++ b/crates/stand-ins/src/scripted.rs
@@ -19,12 +19,12 @@
 pub const PATIENCE: Duration = Duration::from_secs(20);
 
 /// The Unix time in seconds.
-pub fn unix() -> f64 {
+pub fn unix_seconds() -> f64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_secs_f64()
 }
 
 /// Connects with a small receive buffer, so that unread bytes stay queued at the sender.
-pub fn narrow(address: SocketAddr) -> TcpStream {
+pub fn connect_with_small_buffer(address: SocketAddr) -> TcpStream {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     socket.set_recv_buffer_size(8 * 1024).unwrap();
     socket.connect(&address.into()).unwrap();
@@ -41,7 +41,7 @@
 }
 
 /// A command that a cache node received, and the connection that its answer goes to.
-pub struct Served {
+pub struct ReceivedCommand {
     pub verb: String,
     pub id: String,
     pub fields: String,
@@ -49,7 +49,7 @@
     stream: TcpStream,
 }
 
-impl Served {
+impl ReceivedCommand {
     /// Returns the value of a field.
     pub fn field(&self, name: &str) -> Option<&str> {
         crate::field(&self.fields, name)
@@ -63,29 +63,29 @@
     }
     /// Answers with a cache hit.
     pub fn hit(&mut self, body: &[u8]) {
-        self.answer("HIT", &format!("n=TCP_HIT,etag=e1,made={}", (unix() * 1000.0) as u64), body);
+        self.answer("HIT", &format!("n=TCP_HIT,etag=e1,made={}", (unix_seconds() * 1000.0) as u64), body);
     }
     /// Writes these bytes to the connection as they are.
-    pub fn raw(&mut self, bytes: &str) {
+    pub fn write_raw(&mut self, bytes: &str) {
         self.stream.write_all(bytes.as_bytes()).unwrap();
     }
     /// Shuts down the connection that the command came on.
-    pub fn hang_up(self) {
+    pub fn close_connection(self) {
         self.stream.shutdown(std::net::Shutdown::Both).unwrap();
     }
 }
 
 /// A listening address at which a connection attempt is neither accepted nor refused: its accept queue is
 /// full, so that the system ignores further attempts until the server accepts.
-pub struct UnresponsiveClient {
+pub struct UnresponsiveServer {
     listener: TcpListener,
     queued: Vec<TcpStream>,
 }
 
-impl UnresponsiveClient {
+impl UnresponsiveServer {
     /// Starts listening and fills the accept queue.
     #[allow(clippy::new_without_default)]
-    pub fn new() -> UnresponsiveClient {
+    pub fn new() -> UnresponsiveServer {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
         socket.listen(0).unwrap();
@@ -94,7 +94,7 @@
         let connect = || TcpStream::connect_timeout(&address, Duration::from_millis(200)).ok();
         let queued: Vec<_> = (0..3).map_while(|_| connect()).collect();
         assert!((1..3).contains(&queued.len()), "the system lets {} wait", queued.len());
-        UnresponsiveClient { listener, queued }
+        UnresponsiveServer { listener, queued }
     }
 
     /// The listening address.
@@ -104,20 +104,20 @@
 
     /// Returns the listener, which accepts from now on; the first connections that it yields are the queued
     /// ones, already closed by their clients.
-    pub fn hears(self) -> TcpListener {
+    pub fn accept_connections(self) -> TcpListener {
         drop(self.queued);
         self.listener
     }
 }
 
 /// Starts a cache node that hands each command that it receives to the test.
-pub fn cache_node() -> (SocketAddr, Receiver<Served>) {
+pub fn cache_node() -> (SocketAddr, Receiver<ReceivedCommand>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     (listener.local_addr().unwrap(), cache_node_at(listener))
 }
 
 /// Starts a cache node on this listener.
-pub fn cache_node_at(listener: TcpListener) -> Receiver<Served> {
+pub fn cache_node_at(listener: TcpListener) -> Receiver<ReceivedCommand> {
     let (sender, receiver) = channel();
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
@@ -128,7 +128,7 @@
     receiver
 }
 
-fn read_commands(stream: TcpStream, sender: &Sender<Served>) {
+fn read_commands(stream: TcpStream, sender: &Sender<ReceivedCommand>) {
     let mut reader = BufReader::new(stream.try_clone().unwrap());
     let mut line = String::new();
     while reader.read_line(&mut line).is_ok_and(|n| n > 0) {
@@ -141,7 +141,8 @@
         }
         let word = |i: usize| words.get(i).cloned().unwrap_or_default();
         let stream = stream.try_clone().unwrap();
-        if sender.send(Served { verb: word(0), id: word(1), fields: word(2), body, stream }).is_err() {
+        if sender.send(ReceivedCommand { verb: word(0), id: word(1), fields: word(2), body, stream }).is_err()
+        {
             return;
         }
         line.clear();
@@ -231,8 +232,8 @@
 
     /// Returns claims that allow a path for one minute.
     pub fn claims(&self, path: &str) -> Value {
-        json!({"iss": self.issuer, "aud": "media-1", "exp": unix() + 60.0,
-            "nbf": unix() - 60.0, "cdniv": 1,
+        json!({"iss": self.issuer, "aud": "media-1", "exp": unix_seconds() + 60.0,
+            "nbf": unix_seconds() - 60.0, "cdniv": 1,
             "cdniuc": format!("regex:https://media\\.example\\.org{path}(\\?.*)?")})
     }
 
--- a/src/net/connections/tests.rs
+++ b/src/net/connections/tests.rs
@@ -265,7 +265,7 @@
     use crate::net::ClientSocket;
     use std::io::{IoSlice, Read};
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let mut peer = onyxyoke_stand_ins::scripted::narrow(listener.local_addr().unwrap());
+    let mut peer = onyxyoke_stand_ins::scripted::connect_with_small_buffer(listener.local_addr().unwrap());
     let socket = Rc::new(ClientSocket::new(listener.accept().await.unwrap().0));
     let table = ConnectionTable::new(1);
     let now = crate::clock::now();
--- a/src/net/coordinator/tests.rs
+++ b/src/net/coordinator/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::memory::Ledger;
-use onyxyoke_stand_ins::scripted::UnresponsiveClient;
+use onyxyoke_stand_ins::scripted::UnresponsiveServer;
 use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
@@ -58,12 +58,12 @@
 fn events_come_well_within_a_second_after_a_coordinator_is_back() {
     let runs = [0.1, 0.45, 1.2, 2.3].map(|down| {
         std::thread::spawn(move || {
-            let machine = UnresponsiveClient::new();
+            let machine = UnresponsiveServer::new();
             with_feed(machine.address(), |mut events| async move {
                 // The time for which it is down; the bound holds for any.
                 tokio::time::sleep(Duration::from_secs_f64(down)).await;
                 let back = Instant::now();
-                let listener = machine.hears();
+                let listener = machine.accept_connections();
                 listener.set_nonblocking(true).unwrap();
                 let listener = TcpListener::from_std(listener).unwrap();
                 loop {
--- a/src/net/pool/connection/node_socket/tests.rs
+++ b/src/net/pool/connection/node_socket/tests.rs
@@ -8,7 +8,7 @@
 /// Returns a node's socket and the node's end of the connection, which has a small receive buffer.
 async fn connected_pair() -> (NodeSocket, std::net::TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let node = onyxyoke_stand_ins::scripted::narrow(listener.local_addr().unwrap());
+    let node = onyxyoke_stand_ins::scripted::connect_with_small_buffer(listener.local_addr().unwrap());
     let stream = listener.accept().await.unwrap().0;
     stream.set_nodelay(true).unwrap();
     (NodeSocket::new(stream), node)
--- a/src/net/send_queue/tests.rs
+++ b/src/net/send_queue/tests.rs
@@ -11,7 +11,7 @@
 /// Returns the two ends of a connection. The second reads nothing by itself and has a small receive buffer.
 async fn connected_pair() -> (TcpStream, std::net::TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let peer = onyxyoke_stand_ins::scripted::narrow(listener.local_addr().unwrap());
+    let peer = onyxyoke_stand_ins::scripted::connect_with_small_buffer(listener.local_addr().unwrap());
     (listener.accept().await.unwrap().0, peer)
 }
 
--- a/tests/closing.rs
+++ b/tests/closing.rs
@@ -20,7 +20,7 @@
 /// answer; the front has nothing more to send.
 struct UnreadAnswer {
     front: PlatformFront,
-    served: Receiver<Served>,
+    served: Receiver<ReceivedCommand>,
     client: Client,
 }
 
@@ -29,12 +29,12 @@
         let (cache, served) = cache_node();
         let members = vec![member(EDGE, "standard", cache), member(ORIGIN, "origin", cache)];
         let front = PlatformFront::start(name, members, change);
-        let client = Client::new(narrow(front.address));
+        let client = Client::new(connect_with_small_buffer(front.address));
         UnreadAnswer::request(front, served, client)
     }
 
     /// Sends a request and waits until the front has passed the whole answer to the kernel.
-    fn request(front: PlatformFront, served: Receiver<Served>, mut client: Client) -> UnreadAnswer {
+    fn request(front: PlatformFront, served: Receiver<ReceivedCommand>, mut client: Client) -> UnreadAnswer {
         send_keyed_request(&mut client, 1);
         next(&served).hit(&vec![b'y'; LARGE_BODY_BYTES]);
         eventually("the front counts the answer", || {
@@ -150,7 +150,8 @@
 #[test]
 fn replaced_front_keeps_connections_with_unread_answers() {
     let tmp = std::env::temp_dir().join(format!("onyxyoke-tmp-replaced-{}", std::process::id()));
-    let unread = start_replaceable(&tmp, "closing-replaced", |front| narrow(front.address));
+    let unread =
+        start_replaceable(&tmp, "closing-replaced", |front| connect_with_small_buffer(front.address));
     let mut silent = unread.front.connect();
     replace_front(&unread.front, &tmp);
     assert!(silent.ends_without_data(), "a connection without any request is closed");
--- a/tests/closing_busy.rs
+++ b/tests/closing_busy.rs
@@ -19,9 +19,9 @@
 const MAX_REFUSED: u64 = 2 * IN_FLIGHT + (FRAMES_PER_S * SENT_AFTER_CLOSE_S) as u64;
 
 /// Answers each request once the next has come, so that one is always in flight at the cache node.
-fn answer_one_behind(served: Receiver<Served>) {
+fn answer_one_behind(served: Receiver<ReceivedCommand>) {
     thread::spawn(move || {
-        let mut previous: Option<Served> = None;
+        let mut previous: Option<ReceivedCommand> = None;
         for request in served {
             if let Some(mut previous) = previous.replace(request) {
                 previous.hit(b"whole");
--- a/tests/closing_crossings.rs
+++ b/tests/closing_crossings.rs
@@ -40,7 +40,7 @@
 const MAX_ANSWERS: u64 = 100;
 
 /// Starts a front whose memory is scarce once it has an idle connection.
-fn start_with_scarce_memory(name: &str) -> (PlatformFront, Receiver<Served>) {
+fn start_with_scarce_memory(name: &str) -> (PlatformFront, Receiver<ReceivedCommand>) {
     let (front, served) = front_with_one_cache(name);
     let mut idle = idle_client(&front);
     // Less than the program needs by itself, so that none of the shared memory is free.
@@ -71,7 +71,7 @@
 }
 
 /// Answers each command at the cache node with this body, from another thread.
-fn answer_all(served: Receiver<Served>, body: &'static [u8]) {
+fn answer_all(served: Receiver<ReceivedCommand>, body: &'static [u8]) {
     thread::spawn(move || served.iter().for_each(|mut request| request.hit(body)));
 }
 
@@ -170,7 +170,7 @@
 }
 
 /// Starts a front with [`SLOTS`] connection slots.
-fn start_with_few_slots(name: &str) -> (PlatformFront, Receiver<Served>) {
+fn start_with_few_slots(name: &str) -> (PlatformFront, Receiver<ReceivedCommand>) {
     let (cache, served) = cache_node();
     let members = vec![member(EDGE, "standard", cache), member(ORIGIN, "origin", cache)];
     (PlatformFront::start(name, members, |config| config["limits"]["sockets"] = json!(SOCKETS)), served)
@@ -208,7 +208,7 @@
 
 /// Sends requests until the kernel's send buffer is full and the front holds the rest of the answers.
 /// Returns the number of requests.
-fn fill_send_buffer(front: &PlatformFront, served: &Receiver<Served>, client: &mut Client) -> u64 {
+fn fill_send_buffer(front: &PlatformFront, served: &Receiver<ReceivedCommand>, client: &mut Client) -> u64 {
     let is_full = |number: &u64| {
         send_keyed_request(client, *number);
         let mut body = vec![b'y'; LARGE_BODY_BYTES - end_mark(*number).len()];
@@ -242,7 +242,7 @@
 fn assert_answers_arrive_after_invalid_command(name: &str, further: &[u8]) {
     retry_if_late(|round| {
         let (front, served) = front_with_one_cache(&format!("{name}-{round}"));
-        let mut client = Client::new(narrow(front.address));
+        let mut client = Client::new(connect_with_small_buffer(front.address));
         let requests = fill_send_buffer(&front, &served, &mut client);
         let began = Instant::now();
         client.stream.write_all(INVALID_COMMAND).unwrap();
@@ -277,7 +277,7 @@
 }
 
 /// Clients with one request in flight each.
-fn active_clients(front: &PlatformFront, served: &Receiver<Served>, count: usize) -> Vec<Client> {
+fn active_clients(front: &PlatformFront, served: &Receiver<ReceivedCommand>, count: usize) -> Vec<Client> {
     let clients = (0..count).map(|i| {
         let mut client = front.connect();
         send_keyed_request(&mut client, i as u64 + 1);
@@ -303,7 +303,7 @@
 /// `None` if the front closes the connection instead.
 fn request_on_new_connection(
     front: &PlatformFront,
-    served: &Receiver<Served>,
+    served: &Receiver<ReceivedCommand>,
     tag: u64,
 ) -> Option<TcpStream> {
     let mut stream = TcpStream::connect(front.address).unwrap();
--- a/tests/closing_small.rs
+++ b/tests/closing_small.rs
@@ -59,7 +59,11 @@
 
 impl<'a> Platform<'a> {
     fn new(front: &'a PlatformFront) -> Self {
-        Platform { front, slow: Client::new(narrow(front.address)), witness: front.connect() }
+        Platform {
+            front,
+            slow: Client::new(connect_with_small_buffer(front.address)),
+            witness: front.connect(),
+        }
     }
 }
 
@@ -101,7 +105,7 @@
     fn new(front: &'a SignedFront, signer: &Signer) -> Self {
         let request = get(&signer.link("/talks/7.mp4"));
         let witness = TcpStream::connect(front.address).unwrap();
-        Signed { front, request, slow: narrow(front.address), witness }
+        Signed { front, request, slow: connect_with_small_buffer(front.address), witness }
     }
 }
 
@@ -195,7 +199,7 @@
 /// A slow client whose receive buffer is full, and its answers.
 struct SlowClient<H> {
     harness: H,
-    served: Receiver<Served>,
+    served: Receiver<ReceivedCommand>,
     sizes: BodySizes,
     /// The bodies of its answers, by the numbers of its requests.
     answers: BTreeMap<u64, Vec<u8>>,
@@ -213,7 +217,7 @@
 }
 
 impl<H: Harness> SlowClient<H> {
-    fn start(harness: H, served: Receiver<Served>, fill: Fill) -> Self {
+    fn start(harness: H, served: Receiver<ReceivedCommand>, fill: Fill) -> Self {
         let seed = if let Fill::Beyond { seed, .. } = fill { seed } else { 0 };
         let sizes = BodySizes(fastrand::Rng::with_seed(seed));
         let mut client = SlowClient { harness, served, sizes, answers: BTreeMap::new(), first_unsent: None };
--- a/tests/crossings.rs
+++ b/tests/crossings.rs
@@ -32,10 +32,14 @@
 }
 
 /// Waits for the next command at either of two cache nodes. Returns it and whether it came to the first one.
-fn next_at_either(first: &Receiver<Served>, second: &Receiver<Served>) -> (Served, bool) {
+fn next_at_either(
+    first: &Receiver<ReceivedCommand>,
+    second: &Receiver<ReceivedCommand>,
+) -> (ReceivedCommand, bool) {
     let mut command = None;
     eventually("a command at either cache node", || {
-        let next_at = |served: &Receiver<Served>, is_first: bool| Some((served.try_recv().ok()?, is_first));
+        let next_at =
+            |served: &Receiver<ReceivedCommand>, is_first: bool| Some((served.try_recv().ok()?, is_first));
         command = next_at(first, true).or_else(|| next_at(second, false));
         command.is_some()
     });
@@ -43,7 +47,7 @@
 }
 
 /// Panics if a command has reached the cache node.
-fn assert_no_command(served: &Receiver<Served>) {
+fn assert_no_command(served: &Receiver<ReceivedCommand>) {
     if let Ok(command) = served.try_recv() {
         panic!("{} {} reached the cache node", command.verb, command.id);
     }
@@ -100,7 +104,7 @@
 #[test]
 fn request_in_flight_at_sigterm_is_answered_whole() {
     let (mut front, served) = front_with_one_cache("crossing-taken");
-    let mut client = Client::new(narrow(front.address));
+    let mut client = Client::new(connect_with_small_buffer(front.address));
     client.send_request("1", 0xa1, "");
     let mut request = next(&served);
     front.signal("-TERM");
@@ -324,7 +328,7 @@
 /// the attempt once the connection is established.
 #[test]
 fn attempt_of_a_disconnected_client_is_not_written_on_a_late_connection() {
-    let unresponsive = UnresponsiveClient::new();
+    let unresponsive = UnresponsiveServer::new();
     let members = vec![
         member(EDGE, "standard", unresponsive.address()),
         member(ORIGIN, "origin", unresponsive.address()),
@@ -337,7 +341,7 @@
     await_counter(&front, " sent=1 written=0 ");
     drop(client);
     await_counter(&front, " aborted=1 ");
-    let served = cache_node_at(unresponsive.hears());
+    let served = cache_node_at(unresponsive.accept_connections());
     front.signal("-TERM");
     assert_eq!(counter_at_exit(&mut front, "written"), 0);
     assert_no_command(&served);
@@ -347,7 +351,7 @@
 /// the attempt.
 #[test]
 fn attempt_of_a_waiting_client_is_written_on_a_late_connection() {
-    let unresponsive = UnresponsiveClient::new();
+    let unresponsive = UnresponsiveServer::new();
     let members = vec![
         member(EDGE, "standard", unresponsive.address()),
         member(ORIGIN, "origin", unresponsive.address()),
@@ -358,7 +362,7 @@
     let mut client = front.connect();
     client.send_request("1", 0xa1, "");
     await_counter(&front, " sent=1 written=0 ");
-    let served = cache_node_at(unresponsive.hears());
+    let served = cache_node_at(unresponsive.accept_connections());
     next(&served).hit(b"late");
     assert_eq!(client.answer()[1], "ok");
 }
@@ -367,7 +371,7 @@
 /// must go to another node, and the first must get nothing when its connections are established after all.
 #[test]
 fn attempt_that_waits_for_a_connection_to_a_draining_node_goes_to_another() {
-    let unresponsive = UnresponsiveClient::new();
+    let unresponsive = UnresponsiveServer::new();
     let (other, at_other) = cache_node();
     let members = vec![member(EDGE, "standard", unresponsive.address()), member(ORIGIN, "origin", other)];
     let mut front = PlatformFront::start("crossing-late-drain", members, |config| {
@@ -381,7 +385,7 @@
     feed.write_all(&list_frame(4, &records)).unwrap();
     next(&at_other).hit(b"elsewhere");
     assert_eq!(client.answer()[3], "elsewhere");
-    let first_served = cache_node_at(unresponsive.hears());
+    let first_served = cache_node_at(unresponsive.accept_connections());
     front.signal("-TERM");
     assert_eq!(counter_at_exit(&mut front, "written"), 1);
     assert_no_command(&first_served);
@@ -472,7 +476,7 @@
 #[test]
 fn front_with_all_slots_taken_recovers_when_the_coordinator_returns() {
     let (cache, served) = cache_node();
-    let unresponsive = UnresponsiveClient::new();
+    let unresponsive = UnresponsiveServer::new();
     let front = PlatformFront::start("crossing-full", Vec::new(), |config| {
         config["admin_addr"] = json!("127.0.0.1:0");
         config["limits"]["sockets"] = json!(192);
@@ -516,7 +520,7 @@
     let core_share = (processor_ns(&front) - processor_ns_before) as f64 / began.elapsed().as_nanos() as f64;
     assert!(core_share < 0.5, "the front uses {core_share:.2} of a core with nothing to do");
     // The coordinator returns, with one cache node.
-    let listener = unresponsive.hears();
+    let listener = unresponsive.accept_connections();
     let returned_at = Instant::now();
     let mut feed = loop {
         let (mut stream, _) = listener.accept().unwrap();
--- a/tests/memory.rs
+++ b/tests/memory.rs
@@ -23,11 +23,11 @@
     })
 }
 
-fn answer_all(served: &Receiver<Served>) {
+fn answer_all(served: &Receiver<ReceivedCommand>) {
     for mut one in served {
         if one.verb == "serve" {
             let kb: usize = one.field("slice").unwrap().parse().unwrap();
-            let made = (unix() * 1000.0) as u64;
+            let made = (unix_seconds() * 1000.0) as u64;
             // The front may have closed the connection meanwhile.
             let _ = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| {
                 one.answer("HIT", &format!("n=TCP_HIT,etag=e1,made={made}"), &vec![b'x'; kb * 1000]);
@@ -102,7 +102,8 @@
 #[test]
 fn unread_answers_are_bounded_and_those_who_read_are_served() {
     let node = front("unread", 32, json!({"unread": {"cap_mb": 3}}));
-    let mut slow: Vec<Client> = (0..4).map(|_| Client::new(narrow(node.address))).collect();
+    let mut slow: Vec<Client> =
+        (0..4).map(|_| Client::new(connect_with_small_buffer(node.address))).collect();
     let sent = fill_unread(&node, &mut slow, 1e6);
     let mut answers = vec![Vec::new(); slow.len()];
     let mut read = |slow: &mut [Client], count| {
@@ -209,7 +210,8 @@
 fn caps_change_in_service() {
     let node = front("caps", 32, json!({"unread": {"cap_mb": 3}}));
     let reload = |memory: Value| node.reload(|config| config["memory"] = memory.clone());
-    let mut slow: Vec<Client> = (0..2).map(|_| Client::new(narrow(node.address))).collect();
+    let mut slow: Vec<Client> =
+        (0..2).map(|_| Client::new(connect_with_small_buffer(node.address))).collect();
     let sent = fill_unread(&node, &mut slow, 250_000.0);
     reload(json!({"unread": {"cap_mb": 0.01}}));
     node.logged("the settings are in force");
--- a/tests/operate.rs
+++ b/tests/operate.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 /// Starts a front with one cache node; returns the node's requests and the address of the operators' socket.
-fn front(name: &str) -> (PlatformFront, std::sync::mpsc::Receiver<Served>, SocketAddr) {
+fn front(name: &str) -> (PlatformFront, std::sync::mpsc::Receiver<ReceivedCommand>, SocketAddr) {
     let (cache, served) = cache_node();
     let members = vec![member(EDGE, "standard", cache), member(ORIGIN, "origin", cache)];
     let node = PlatformFront::start(name, members, |config| config["admin_addr"] = json!("127.0.0.1:0"));
@@ -101,7 +101,7 @@
 
 /// Requests an object that no other request is for and has the cache that gets the request answer it. Returns
 /// the index of that cache.
-fn ask(client: &mut Client, tag: u64, caches: &[&std::sync::mpsc::Receiver<Served>]) -> usize {
+fn ask(client: &mut Client, tag: u64, caches: &[&std::sync::mpsc::Receiver<ReceivedCommand>]) -> usize {
     let fields = format!("call={tag:016x},ttl=3000,row={tag:016x},slice=0,set=17,heap=10.5");
     client.send(&["REQ", &tag.to_string(), "media", &fields, ""]);
     let by = Instant::now() + PATIENCE;
@@ -500,7 +500,7 @@
 
 /// Starts a front with a `$TMPDIR` of its own; returns it with its cache node's requests, the address of its
 /// operators' socket and its cordons file.
-fn front_with_folder(name: &str) -> (PlatformFront, Receiver<Served>, SocketAddr, PathBuf) {
+fn front_with_folder(name: &str) -> (PlatformFront, Receiver<ReceivedCommand>, SocketAddr, PathBuf) {
     let tmp = std::env::temp_dir().join(format!("onyxyoke-{name}-tmp-{}", std::process::id()));
     std::fs::create_dir_all(&tmp).unwrap();
     let (cache, served) = cache_node();
@@ -514,7 +514,7 @@
 }
 
 /// Asserts that a client and an operator are answered.
-fn assert_responsive(node: &PlatformFront, served: &Receiver<Served>, admin: SocketAddr) {
+fn assert_responsive(node: &PlatformFront, served: &Receiver<ReceivedCommand>, admin: SocketAddr) {
     assert_eq!(call(admin, "health"), "ok yes\n");
     let mut client = node.connect();
     client.send_request("1", 1, "");
--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -29,7 +29,7 @@
         patience > 0.0 && patience < 3000.0,
         "the patience leaves a margin before the client gives up: {patience}"
     );
-    asked.answer("VALID", &format!("n=TCP_HIT,etag=e9,made={}", (unix() * 1000.0) as u64), b"");
+    asked.answer("VALID", &format!("n=TCP_HIT,etag=e9,made={}", (unix_seconds() * 1000.0) as u64), b"");
     assert_eq!(client.answer(), ["1", "ok", "current=1", ""]);
     // Answers are forwarded in any order, complete and unchanged.
     client.send_request("2", 0xa2, "");
@@ -82,9 +82,9 @@
     let (last, mut feed) = node.feeds.recv_timeout(PATIENCE).unwrap();
     assert_eq!(last, 3, "the feed starts after the last known number");
     let purge = |at: f64| [&17u16.to_be_bytes()[..], &((at * 1000.0) as u64).to_be_bytes()].concat();
-    feed.write_all(&frame(4, 4, &purge(unix()))).unwrap();
+    feed.write_all(&frame(4, 4, &purge(unix_seconds()))).unwrap();
     // After a gap in the numbers the front reconnects from the last number it has.
-    feed.write_all(&frame(9, 4, &purge(unix()))).unwrap();
+    feed.write_all(&frame(9, 4, &purge(unix_seconds()))).unwrap();
     let (last, mut feed) = node.feeds.recv_timeout(PATIENCE).unwrap();
     assert_eq!(last, 4);
     // A repeated update, then the drain of one of the two caches.
@@ -94,7 +94,7 @@
     record.extend([1, 1, 0, 0, 0]);
     record.extend(8000u32.to_be_bytes());
     record.extend(0u64.to_be_bytes());
-    let updates = [frame(4, 4, &purge(unix())), frame(5, 2, &record), vec![0, 0, 0, 1]].concat();
+    let updates = [frame(4, 4, &purge(unix_seconds())), frame(5, 2, &record), vec![0, 0, 0, 1]].concat();
     feed.write_all(&updates).unwrap();
     // A broken frame closes the connection. The next one starts after the drain, so the front has read it.
     let (last, _feed) = node.feeds.recv_timeout(PATIENCE).unwrap();
@@ -275,7 +275,7 @@
 fn malformed_answers_are_requested_again_and_extra_ones_ignored() {
     let (node, served) = front_with_one_cache("spoilt");
     let mut client = node.connect();
-    let made = (unix() * 1000.0) as u64;
+    let made = (unix_seconds() * 1000.0) as u64;
     let good =
         |id: &str, body: &str| format!("{id} HIT n=TCP_HIT,etag=e,made={made} {}\r\n{body}\r\n", body.len());
     let malformed = [
@@ -288,13 +288,13 @@
         let started = std::time::Instant::now();
         client.send_request(&(i + 1).to_string(), i as u64, "");
         let mut first = next(&served);
-        first.raw(&text.replace("ID", &first.id));
+        first.write_raw(&text.replace("ID", &first.id));
         let mut retry = next(&served);
         assert_eq!((&*retry.verb, &retry.id), ("serve", &first.id));
         assert!(started.elapsed() < std::time::Duration::from_secs(2), "the retry is not immediate: {text}");
         // Extra answers: one with an unknown id before, and a second one for the same id after.
         let all = [good("00000000000000ff", "no"), good(&retry.id, "yes"), good(&retry.id, "no")].concat();
-        retry.raw(&all);
+        retry.write_raw(&all);
         assert_eq!(client.answer()[3], "yes");
     }
     assert!(served.try_recv().is_err());
--- a/tests/signed.rs
+++ b/tests/signed.rs
@@ -38,12 +38,12 @@
     Signer { kid: "t-ec", issuer: TALKS_ISSUER, algorithm: Algorithm::ES256, key, jwk }
 }
 
-fn next(served: &Receiver<Served>) -> Served {
+fn next(served: &Receiver<ReceivedCommand>) -> ReceivedCommand {
     served.recv_timeout(PATIENCE).expect("a request at the cache node")
 }
 
 /// Sends a request, has the cache node serve it, and returns the status, the head and the requested asset.
-fn get_through(front: &SignedFront, served: &Receiver<Served>, text: &str) -> (u16, String, String) {
+fn get_through(front: &SignedFront, served: &Receiver<ReceivedCommand>, text: &str) -> (u16, String, String) {
     let mut stream = front.send(text);
     let mut one = next(served);
     assert_eq!(one.verb, "serve");
@@ -95,9 +95,9 @@
         ("another team's key", with(&documents, &|_| ())),
         ("another team's key, with this team's name", with(&documents, &|c| c["iss"] = json!(TALKS_ISSUER))),
         ("another issuer's name", set("iss", json!(DOCUMENTS))),
-        ("expired", set("exp", json!(unix() - 1.0))),
+        ("expired", set("exp", json!(unix_seconds() - 1.0))),
         ("expired, in words", set("exp", json!("tomorrow"))),
-        ("not yet valid", set("nbf", json!(unix() + 30.0))),
+        ("not yet valid", set("nbf", json!(unix_seconds() + 30.0))),
         ("wrong path", talks.link("/talks/8.mp4").replace("8.mp4", "7.mp4")),
         ("wrong hash", set("cdniuc", json!(other))),
         ("part of the path", set("cdniuc", json!("regex:/talks"))),
@@ -137,7 +137,7 @@
     let (front, served) = start_signed_front("copy", &[&talks, &documents], unchanged);
     let (path, cookie) = ("/talks/7.mp4", talks.sign(&talks.claims("/talks/7.mp4")));
     let mut later = talks.claims(path);
-    later["exp"] = json!(unix() + 90.0);
+    later["exp"] = json!(unix_seconds() + 90.0);
     let by_cookie =
         format!("GET {path} HTTP/1.1\r\nHost: h\r\nCookie: a=b; URISigningPackage={cookie}\r\n\r\n");
     let requests = [
@@ -165,7 +165,7 @@
     });
     let path = "/talks/7.mp4";
     let mut claims = old.claims(path);
-    let expires = unix() + 1.0;
+    let expires = unix_seconds() + 1.0;
     claims["exp"] = json!(expires);
     let short = format!("{path}?URISigningPackage={}", old.sign(&claims));
     let mut stream = front.send(&get(&short));
@@ -184,7 +184,7 @@
         one.hit(b"the object");
         status(read_message(&mut stream)).0
     };
-    eventually("the token has expired", || unix() > expires);
+    eventually("the token has expired", || unix_seconds() > expires);
     assert_eq!(front.get(&short).0, 403, "an expired token is refused");
     // The key is replaced under the same id while the transfer is in flight.
     write_keys(&front.keys, &[&new], &[]);
@@ -234,7 +234,7 @@
     let mut stream = front.send(&valid);
     let mut asked = next(&served);
     assert_eq!(asked.field("have"), Some("e1"));
-    asked.answer("VALID", &format!("n=TCP_HIT,etag=e1,made={}", (unix() * 1000.0) as u64), b"");
+    asked.answer("VALID", &format!("n=TCP_HIT,etag=e1,made={}", (unix_seconds() * 1000.0) as u64), b"");
     let (code, head, _) = status(read_message(&mut stream));
     assert!(code == 304 && head.contains("ETag: \"e1\""), "{head}");
     // Byte ranges of a video, and a HEAD request, whose answer has no body.
@@ -260,13 +260,13 @@
             && head.ends_with("\r\n\r\n")
     );
     // No answer of the cache node: the client gets 504 at the deadline, and the cache node gets a cancel.
-    let sent = unix();
+    let sent = unix_seconds();
     let mut stream = front.send(&get(&link));
     let asked = next(&served);
     let patience: f64 = asked.field("patience").unwrap().parse().unwrap();
     assert!(patience <= 500.0, "{patience}");
     let (code, head, _) = status(read_message(&mut stream));
-    assert!(code == 504 && unix() - sent < 3.0, "{head}");
+    assert!(code == 504 && unix_seconds() - sent < 3.0, "{head}");
     let cancel = next(&served);
     assert_eq!((&*cancel.verb, &cancel.id), ("cancel", &asked.id));
     // A refusal of the cache node: the client gets 503 at once with a Retry-After.
@@ -309,7 +309,7 @@
     let mut stream = front.send(&post);
     let write = next(&served);
     assert_eq!((&*write.body, write.field("keep")), (&b"hold"[..], None));
-    write.hang_up();
+    write.close_connection();
     assert_eq!(status(read_message(&mut stream)).0, 502);
     assert!(served.try_recv().is_err(), "the write is sent again");
     // The class requires POST, so its links are refused for GET.
@@ -383,7 +383,7 @@
     let link = get(&talks.link("/talks/7.mp4"));
     let mut idle = front.send(&get("/talks/unsigned"));
     assert_eq!(status(read_message(&mut idle)).0, 401);
-    let mut slow = narrow(front.address);
+    let mut slow = connect_with_small_buffer(front.address);
     slow.write_all(link.as_bytes()).unwrap();
     let large = vec![b'y'; 240_000];
     next(&served).hit(&large);
--- a/tests/stalls.rs
+++ b/tests/stalls.rs
@@ -37,7 +37,7 @@
 }
 
 /// Has a cache node answer all requests from now on. The receiver gets every other command.
-fn answer_all(served: Receiver<Served>) -> Receiver<String> {
+fn answer_all(served: Receiver<ReceivedCommand>) -> Receiver<String> {
     let (sender, others) = channel();
     thread::spawn(move || {
         for mut one in served {
@@ -68,7 +68,7 @@
             ask(&mut client, tag);
             thread::sleep(REQUEST_INTERVAL);
         }
-        let mut requests: Vec<Served> = (1..=REQUESTS_IN_FLIGHT).map(|_| next(&served)).collect();
+        let mut requests: Vec<ReceivedCommand> = (1..=REQUESTS_IN_FLIGHT).map(|_| next(&served)).collect();
         thread::sleep(PAUSE);
         let began = Instant::now();
         // The last request is answered first.
--- a/tests/stand_ins/mod.rs
+++ b/tests/stand_ins/mod.rs
@@ -289,7 +289,7 @@
 }
 
 /// Starts a front with one cache node, which is its origin too; returns the front and the node's commands.
-pub fn front_with_one_cache(name: &str) -> (PlatformFront, Receiver<Served>) {
+pub fn front_with_one_cache(name: &str) -> (PlatformFront, Receiver<ReceivedCommand>) {
     let (cache, served) = cache_node();
     (
         PlatformFront::start(
@@ -303,7 +303,7 @@
 
 /// Starts a front with two cache nodes, the second of which is its origin too; returns the front and, for
 /// each node, its address and its commands.
-pub fn front_with_two_caches(name: &str) -> (PlatformFront, [(SocketAddr, Receiver<Served>); 2]) {
+pub fn front_with_two_caches(name: &str) -> (PlatformFront, [(SocketAddr, Receiver<ReceivedCommand>); 2]) {
     let caches = [cache_node(), cache_node()];
     let [one, two] = [caches[0].0, caches[1].0];
     let members = vec![
@@ -315,7 +315,7 @@
 }
 
 /// Waits for the next command at a cache node.
-pub fn next(served: &Receiver<Served>) -> Served {
+pub fn next(served: &Receiver<ReceivedCommand>) -> ReceivedCommand {
     served.recv_timeout(PATIENCE).expect("no command came to the cache node")
 }
 
@@ -377,7 +377,7 @@
     name: &str,
     keys: &[&Signer],
     change: impl Fn(String) -> String,
-) -> (SignedFront, Receiver<Served>) {
+) -> (SignedFront, Receiver<ReceivedCommand>) {
     let (cache, served) = cache_node();
     let (origin, origin_commands) = cache_node();
     let (server, requests) = discovery(vec![("standard", cache), ("origin", origin)]);
